--- a/tests/test_line_states.py
+++ b/tests/test_line_states.py
@@ -36,24 +36,24 @@
     def follow(self) -> None:
         """Moves the model by the effects alone; an effect that its state forbids fails."""
         for effect in self.rig.out[self.read :]:
-            if isinstance(effect, fx.OpenLine) and effect.party is fx.Party.STOCK_NODE:
-                self.model[effect.line] = Stage.OPENING
+            if isinstance(effect, fx.OpenConnection) and effect.destination is fx.Destination.SERVER:
+                self.model[effect.connection_id] = Stage.OPENING
                 number = int(effect.address[-1])
-                self.process[effect.line] = (number, self.started[number])
+                self.process[effect.connection_id] = (number, self.started[number])
             elif isinstance(effect, fx.SendAttempt):
-                assert self.model[effect.line] in (Stage.IDLE, Stage.OPENING)
-                if self.model[effect.line] is Stage.IDLE:
-                    settled = self.rig.now - self.rested[effect.line]
+                assert self.model[effect.connection_id] in (Stage.IDLE, Stage.OPENING)
+                if self.model[effect.connection_id] is Stage.IDLE:
+                    settled = self.rig.now - self.rested[effect.connection_id]
                     assert settled >= self.rig.reducer.house.settling, "it has not settled"
-                self.model[effect.line] = Stage.BUSY
-                number, started = self.process[effect.line]
+                self.model[effect.connection_id] = Stage.BUSY
+                number, started = self.process[effect.connection_id]
                 assert self.listed[number] is Health.READY, "written to a node that is to get nothing more"
                 assert self.started[number] == started, "written to a connection to a process that is gone"
-            elif isinstance(effect, fx.CloseLine):
-                self.model.pop(effect.line, None)
+            elif isinstance(effect, fx.CloseConnection):
+                self.model.pop(effect.connection_id, None)
             elif isinstance(effect, fx.AnswerClient):
-                assert effect.order in self.open_orders, "a second answer"
-                self.open_orders.remove(effect.order)
+                assert effect.request_id in self.open_orders, "a second answer"
+                self.open_orders.remove(effect.request_id)
         self.read = len(self.rig.out)
 
     def some(self, stage: Stage, pick: int) -> int:
@@ -66,33 +66,33 @@
     @rule(kind=st.sampled_from([CHECK, PLACE]), left=st.integers(50, 3000))
     def order(self, kind: int, left: int) -> None:
         self.rig.number += 1
-        errand = ev.Errand("GET", "/stock-check", f"id-{self.rig.number}", (), b"")
+        errand = ev.HttpRequest("GET", "/stock-check", f"id-{self.rig.number}", (), b"")
         self.open_orders.add(self.rig.number)
-        self.rig.step(ev.OrderTaken(self.rig.number, errand, kind, 0, self.rig.number,
+        self.rig.step(ev.RequestReceived(self.rig.number, errand, kind, 0, self.rig.number,
                                      timedelta(milliseconds=left), 1.0, 2, 0, False,
                                      self.rig.number))  # fmt: skip
         for n in range(self.read, 10**9):  # the counter's calls and their answers' own
             if n == len(self.rig.out):
                 break
             effect = self.rig.out[n]
-            if isinstance(effect, fx.OpenLine) and effect.party is fx.Party.QUOTA_COUNTER:
-                self.rig.step(ev.LineUp(effect.line))
+            if isinstance(effect, fx.OpenConnection) and effect.destination is fx.Destination.QUOTA_COUNTER:
+                self.rig.step(ev.ConnectionOpened(effect.connection_id))
             elif isinstance(effect, fx.CallCounter):
-                self.rig.step(ev.CounterAnswered(effect.line, End.OK, 1.0, True))
+                self.rig.step(ev.CounterAnswered(effect.connection_id, End.OK, 1.0, True))
         self.follow()
 
     @rule(number=st.integers(1, 2), health=st.sampled_from([*Health]), again=st.booleans())
     def list_tells(self, number: int, health: Health, again: bool) -> None:
         """A stock node drains, goes, is back; perhaps as another process."""
         books = self.rig.reducer.books
-        while (watch := self.rig.list_question().line) not in books.lines:
+        while (watch := self.rig.list_question().connection_id) not in books.lines:
             self.rig.pass_time(timedelta(milliseconds=50))  # up to the next dial
             self.rig.bring_up_list()
         self.follow()  # up to here the list before holds: nobody can know of this one
         self.listed[number] = health
         self.started[number] += again
         entry, version = node(number, health, self.started[number]), self.rig.next_version()
-        self.rig.step(ev.NodeListAnswered(watch, True, version, ListKind.CHANGES, (entry,)))
+        self.rig.step(ev.ServerListAnswered(watch, True, version, ListKind.CHANGES, (entry,)))
         assert books.list_version == version, "a list over a living watch was not heard"
         self.follow()
 
@@ -100,7 +100,7 @@
     @rule(pick=st.integers(0, 9))
     def comes_up(self, pick: int) -> None:
         line = self.some(Stage.OPENING, pick)
-        self.rig.step(ev.LineUp(line))
+        self.rig.step(ev.ConnectionOpened(line))
         self.follow()
         assert self.model.get(line) is not Stage.OPENING
 
@@ -109,19 +109,19 @@
     def answers(self, pick: int, end: End, keep: bool) -> None:
         line = self.some(Stage.BUSY, pick)
         self.model[line], self.rested[line] = Stage.IDLE, self.rig.now
-        self.rig.step(ev.NodeAnswered(line, end, keep, b""))
+        self.rig.step(ev.ServerAnswered(line, end, keep, b""))
         self.follow()
         assert keep or line not in self.model
 
     @precondition(lambda self: self.has(*Stage))
     @rule(
-        stage=st.sampled_from(list(Stage)), pick=st.integers(0, 9), reached=st.sampled_from(list(ev.Reached))
+        stage=st.sampled_from(list(Stage)), pick=st.integers(0, 9), reached=st.sampled_from(list(ev.Progress))
     )
-    def ends(self, stage: Stage, pick: int, reached: ev.Reached) -> None:
+    def ends(self, stage: Stage, pick: int, reached: ev.Progress) -> None:
         if self.has(stage):
             line = self.some(stage, pick)
             del self.model[line]
-            self.rig.step(ev.LineEnded(line, reached))
+            self.rig.step(ev.ConnectionLost(line, reached))
             self.follow()
 
     @precondition(lambda self: bool(self.open_orders))
@@ -129,7 +129,7 @@
     def client_leaves(self, pick: int) -> None:
         order = sorted(self.open_orders)[pick % len(self.open_orders)]
         self.open_orders.remove(order)
-        self.rig.step(ev.ClientLeft(order))
+        self.rig.step(ev.ClientDisconnected(order))
         self.follow()
 
     @rule(span=st.sampled_from([1, 20, 90, 300, 1500, 10_000]))
@@ -140,7 +140,7 @@
     @invariant()
     def the_books_agree_with_the_model(self) -> None:
         books = self.rig.reducer.books
-        lines = {n: line for n, line in books.lines.items() if line.party is fx.Party.STOCK_NODE}
+        lines = {n: line for n, line in books.lines.items() if line.party is fx.Destination.SERVER}
         assert {n: line.stage for n, line in lines.items()} == self.model
         assert books.node_lines == len(self.model) <= 4
         assert sorted(n for idle in books.idle.values() for n in idle) == sorted(
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -220,11 +220,11 @@
 
     def coming(self, rig: ReducerRig) -> int:
         rig.number += 1
-        errand = ev.Errand("POST", "/place-order", f"id-{rig.number}", (), b"x", True, 100)
+        errand = ev.HttpRequest("POST", "/place-order", f"id-{rig.number}", (), b"x", True, 100)
         left = timedelta(seconds=2)
-        rig.step(ev.ClientCame(rig.number))
-        rig.step(ev.BodyComing(rig.number))
-        rig.step(ev.OrderTaken(rig.number, errand, PLACE, 0, 9, left, 1, 2, 0, False, rig.number))
+        rig.step(ev.ClientConnected(rig.number))
+        rig.step(ev.RequestBodyStarted(rig.number))
+        rig.step(ev.RequestReceived(rig.number, errand, PLACE, 0, 9, left, 1, 2, 0, False, rig.number))
         rig.bring_up()
         rig.count(total=1.0)
         rig.read_last_window()
@@ -237,8 +237,8 @@
         rig.pass_time(timedelta(seconds=30))
         assert not rig.answers and rig.attempt().time_left == timedelta(seconds=2)
         assert rig.reducer.figures().in_progress == 0 and rig.reducer.figures().tries == 0
-        rig.step(ev.BodyEnded(order))
-        rig.step(ev.AttemptWritten(rig.attempt().line))
+        rig.step(ev.RequestBodyEnded(order))
+        rig.step(ev.AttemptWritten(rig.attempt().connection_id))
         assert rig.reducer.figures().in_progress == 1 and rig.reducer.figures().tries == 1
         rig.pass_time(timedelta(milliseconds=1900))
         assert not rig.answers
@@ -248,23 +248,23 @@
     def test_half_a_body_is_never_sent_again(self) -> None:
         rig = ReducerRig()
         self.coming(rig)
-        rig.step(ev.LineEnded(rig.attempt().line, ev.Reached.WRITING))
+        rig.step(ev.ConnectionLost(rig.attempt().connection_id, ev.Progress.WRITING))
         assert len([e for e in rig.out if isinstance(e, fx.SendAttempt)]) == 1
         assert rig.answers[-1].status == 429 and rig.answers[-1].retry_after  # nothing has run
 
     def test_a_body_that_stops_frees_its_node(self) -> None:
         rig = ReducerRig()
         order = self.coming(rig)
-        line = rig.attempt().line
-        rig.step(ev.BodyStalled(order))
-        assert rig.answers[-1].status == 408 and rig.answers[-1].last
-        assert fx.CloseLine(line) in rig.out
+        line = rig.attempt().connection_id
+        rig.step(ev.RequestBodyStalled(order))
+        assert rig.answers[-1].status == 408 and rig.answers[-1].close_connection
+        assert fx.CloseConnection(line) in rig.out
 
     def test_a_slow_head_has_its_time_and_no_more(self) -> None:
         rig = ReducerRig()
-        rig.step(ev.ClientCame(1))
+        rig.step(ev.ClientConnected(1))
         rig.pass_time(timedelta(milliseconds=1900))
-        rig.step(ev.RequestBegun(1))
+        rig.step(ev.RequestHeadStarted(1))
         rig.pass_time(timedelta(milliseconds=2200))
         assert fx.CloseClient(1) not in rig.out
         rig.pass_time(timedelta(milliseconds=600))
@@ -272,43 +272,43 @@
 
     def test_a_client_that_leaves_a_long_answer_frees_its_node_and_a_drain_waits_for_one(self) -> None:
         rig = ReducerRig()
-        rig.step(ev.ClientCame(1))
+        rig.step(ev.ClientConnected(1))
         rig.admit(CHECK)
-        line = rig.attempt().line
-        rig.step(ev.AnswerFlows(line, "", None, {}))
-        assert rig.answers[-1].flow == line and rig.reducer.figures().in_progress == 1
-        rig.step(ev.DrainAsked())
-        rig.step(ev.CloseIdleAsked())
-        assert fx.Leave() not in rig.out
-        rig.step(ev.ClientLeft(1))
-        assert fx.CloseLine(line) in rig.out and fx.Leave() in rig.out
+        line = rig.attempt().connection_id
+        rig.step(ev.StreamedAnswerStarted(line, "", None, {}))
+        assert rig.answers[-1].stream_connection_id == line and rig.reducer.figures().in_progress == 1
+        rig.step(ev.DrainRequested())
+        rig.step(ev.CloseIdleRequested())
+        assert fx.Exit() not in rig.out
+        rig.step(ev.ClientDisconnected(1))
+        assert fx.CloseConnection(line) in rig.out and fx.Exit() in rig.out
 
     def test_a_connection_is_free_for_others_once_a_long_answer_has_come(self) -> None:
         rig = ReducerRig(nodes=1)
         order = rig.admit(CHECK)
-        line = rig.attempt().line
-        rig.step(ev.AnswerFlows(line, "", 99_999, {}))
-        rig.step(ev.AnswerWhole(line, True))
+        line = rig.attempt().connection_id
+        rig.step(ev.StreamedAnswerStarted(line, "", 99_999, {}))
+        rig.step(ev.StreamedAnswerReceived(line, True))
         rig.settle()
         rig.admit(CHECK)
-        assert rig.attempt().line == line
-        rig.step(ev.FlowOver(order, True))
-        assert fx.CloseLine(line) not in rig.out and sum(rig.reducer.figures().passed) == 1
+        assert rig.attempt().connection_id == line
+        rig.step(ev.StreamedAnswerEnded(order, True))
+        assert fx.CloseConnection(line) not in rig.out and sum(rig.reducer.figures().passed) == 1
 
     def test_one_long_body_more_than_memory_holds_is_turned_away_and_the_others_go_on(self) -> None:
         rig = ReducerRig(most_streams=2)
         first = self.coming(rig)
         rig.admit(CHECK)
-        line = rig.attempt().line
-        rig.step(ev.AnswerFlows(line, "", None, {}))
-        errand = ev.Errand("POST", "/place-order", "one-more", (), b"x", True, 100)
+        line = rig.attempt().connection_id
+        rig.step(ev.StreamedAnswerStarted(line, "", None, {}))
+        errand = ev.HttpRequest("POST", "/place-order", "one-more", (), b"x", True, 100)
         left = timedelta(seconds=2)
-        rig.step(ev.OrderTaken(99, errand, PLACE, 0, 9, left, 1, 2, 0, False, 99))
+        rig.step(ev.RequestReceived(99, errand, PLACE, 0, 9, left, 1, 2, 0, False, 99))
         assert rig.answers[-1].status == 429 and rig.answers[-1].retry_after
         rig.admit(CHECK)
-        rig.step(ev.AnswerFlows(rig.attempt().line, "", None, {}))
+        rig.step(ev.StreamedAnswerStarted(rig.attempt().connection_id, "", None, {}))
         assert len(rig.reducer.books.flows) == 1
-        rig.step(ev.BodyEnded(first))
+        rig.step(ev.RequestBodyEnded(first))
         rig.admit(CHECK)
-        rig.step(ev.AnswerFlows(rig.attempt().line, "", None, {}))
-        assert len(rig.reducer.books.flows) == 2 and fx.CloseLine(line) not in rig.out
+        rig.step(ev.StreamedAnswerStarted(rig.attempt().connection_id, "", None, {}))
+        assert len(rig.reducer.books.flows) == 2 and fx.CloseConnection(line) not in rig.out
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -19,7 +19,7 @@
 def test_a_request_can_be_followed_from_its_head_to_its_answer() -> None:
     rig, recorder = ReducerRig(), Recorder()
     number = rig.admit(PLACE)
-    rig.step(ev.LineEnded(rig.attempt().line, ev.Reached.WRITTEN))
+    rig.step(ev.ConnectionLost(rig.attempt().connection_id, ev.Progress.WRITTEN))
     for effect in rig.out:
         recorder.note(effect, START)
     lines = [line for line in recorder.lines() if f"request {number} " in line]
@@ -30,16 +30,16 @@
 def test_the_record_is_bounded() -> None:
     recorder = Recorder()
     for n in range(MOST + 10):
-        recorder.note(ev.ClientCame(n), START)
+        recorder.note(ev.ClientConnected(n), START)
     assert len(recorder.lines()) == MOST and recorder.lines()[0].endswith("client 10 connected")
 
 
 def test_every_answer_and_close_says_why() -> None:
     with_a_reason = {kind for kind in vars(fx).values() if hasattr(kind, "__dataclass_fields__")}
-    with_a_reason = {kind for kind in with_a_reason if "why" in {f.name for f in fields(kind)}}
-    assert with_a_reason == {fx.AnswerClient, fx.CloseClient, fx.CloseLine} <= set(KINDS)
+    with_a_reason = {kind for kind in with_a_reason if "reason" in {f.name for f in fields(kind)}}
+    assert with_a_reason == {fx.AnswerClient, fx.CloseClient, fx.CloseConnection} <= set(KINDS)
     source = (Path(harness.ROOT) / "opalgauge/memory/reducer.py").read_text()
-    assert "Why.UNSAID" not in source
+    assert "Reason.UNSPECIFIED" not in source
 
 
 def test_it_is_told_at_the_admin_endpoint_and_written_on_a_signal() -> None:
@@ -74,7 +74,7 @@
 
         async with scene() as here:
             here.exchange.do[fx.Log] = fails
-            here.exchange.report(ev.DrainAsked(successor=True))  # logs, then accepts no more
+            here.exchange.report(ev.DrainRequested(has_successor=True))  # logs, then accepts no more
             assert here.clients.listener is not None and here.clients.listener.acceptor.suspended
             assert here.log == ["fault: Log: OSError('cannot be written')"]
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -21,13 +21,13 @@
     rig.count(total=2.0)
     rig.read_last_window()
     attempt = rig.attempt()
-    assert attempt.errand.target == "/place-order"
-    rig.step(ev.NodeAnswered(attempt.line, i.End.OK, True, b"done"))
-    assert [(a.order, a.status, a.body) for a in rig.answers] == [(number, 200, b"done")]
+    assert attempt.http_request.target == "/place-order"
+    rig.step(ev.ServerAnswered(attempt.connection_id, i.End.OK, True, b"done"))
+    assert [(a.request_id, a.status, a.body) for a in rig.answers] == [(number, 200, b"done")]
     rig.settle()
     rig.order(PLACE, units=2.0)
     rig.count(total=4.0)
-    assert rig.attempt().line == attempt.line
+    assert rig.attempt().connection_id == attempt.connection_id
 
 
 @pytest.mark.parametrize(("told", "charged"), [(3.0, 3.0), (0.5, 0.5), (900.0, 3.0), (None, 2.0)])
@@ -36,7 +36,7 @@
     rig.order(PLACE, units=2.0)
     rig.count(total=2.0)
     rig.read_last_window()
-    rig.step(ev.NodeAnswered(rig.attempt().line, i.End.OK, True, b"done", true_units=told))
+    rig.step(ev.ServerAnswered(rig.attempt().connection_id, i.End.OK, True, b"done", true_units=told))
     rig.order(PLACE, units=1.0)  # what is still to be settled rides on the account's next call
     assert rig.counter_call().amount == charged - 2.0 + 1.0
 
@@ -54,22 +54,22 @@
 @pytest.mark.parametrize(
     ("reached", "again"),
     [
-        (ev.Reached.CONNECTING, True),
-        (ev.Reached.WRITING, True),
-        (ev.Reached.WRITTEN, False),
-        (ev.Reached.ANSWERING, False),
+        (ev.Progress.CONNECTING, True),
+        (ev.Progress.WRITING, True),
+        (ev.Progress.WRITTEN, False),
+        (ev.Progress.ANSWERING, False),
     ],
 )
 def test_only_how_far_it_came_decides_whether_a_place_order_is_tried_again(
-    reached: ev.Reached, again: bool
+    reached: ev.Progress, again: bool
 ) -> None:
     rig = ReducerRig()
     rig.admit(PLACE)
     first = rig.attempt()
-    rig.step(ev.LineEnded(first.line, reached))
+    rig.step(ev.ConnectionLost(first.connection_id, reached))
     if again:
         rig.bring_up()
-        assert rig.attempt().line != first.line
+        assert rig.attempt().connection_id != first.connection_id
     else:
         assert [a.status for a in rig.answers] == [502]
 
@@ -77,11 +77,11 @@
 def test_a_call_given_up_closes_its_connection_before_anything_else_is_sent() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().line
+    line = rig.attempt().connection_id
     rig.out.clear()
     rig.pass_time(timedelta(seconds=3))
-    assert fx.CloseLine(line) in rig.out
-    closed = rig.out.index(fx.CloseLine(line))
+    assert fx.CloseConnection(line) in rig.out
+    closed = rig.out.index(fx.CloseConnection(line))
     assert not [e for e in rig.out[:closed] if isinstance(e, fx.SendAttempt | fx.AnswerClient)]
     assert len(rig.answers) == 1
 
@@ -93,14 +93,14 @@
     rig.pass_time(timedelta(milliseconds=980))
     assert not rig.answers
     rig.pass_time(timedelta(milliseconds=15))
-    assert [(a.order, a.status) for a in rig.answers] == [(number, 504)]
+    assert [(a.request_id, a.status) for a in rig.answers] == [(number, 504)]
 
 
 def test_a_refusal_that_is_not_permitted_leaves_as_a_failure() -> None:
     rig = ReducerRig()
     number = rig.admit(PLACE)
     rig.reducer.gateway.handle = lambda now, events: [i.Refuse(number, 0.5)]  # type: ignore[method-assign]
-    rig.step(ev.LineEnded(rig.attempt().line, ev.Reached.WRITTEN))
+    rig.step(ev.ConnectionLost(rig.attempt().connection_id, ev.Progress.WRITTEN))
     assert [a.status for a in rig.answers] == [502]
 
 
@@ -124,9 +124,9 @@
 def test_a_client_that_leaves_has_its_attempt_called_off() -> None:
     rig = ReducerRig()
     number = rig.admit(CHECK)
-    line = rig.attempt().line
-    rig.step(ev.ClientLeft(number))
-    assert fx.CloseLine(line) in rig.out
+    line = rig.attempt().connection_id
+    rig.step(ev.ClientDisconnected(number))
+    assert fx.CloseConnection(line) in rig.out
     assert not rig.answers and not rig.reducer.books.attempts
 
 
@@ -134,12 +134,12 @@
     rig = ReducerRig()
     heard = rig.listen()
     rig.order(PLACE)
-    line = rig.counter_call().line
+    line = rig.counter_call().connection_id
     rig.pass_time(timedelta(milliseconds=85))
     assert [e.end for e in heard if isinstance(e, i.Counted)] == [i.End.TIMEOUT]
     rig.step(ev.CounterAnswered(line, i.End.OK, 1.0, True))
     assert len([e for e in heard if isinstance(e, i.Counted)]) == 1
-    assert fx.CloseLine(line) not in rig.out
+    assert fx.CloseConnection(line) not in rig.out
 
 
 def test_counter_answers_reach_the_decisions_in_call_order_when_the_line_breaks() -> None:
@@ -147,9 +147,9 @@
     heard = rig.listen()
     rig.order(PLACE, account=7)
     rig.order(PLACE, account=7)
-    line = rig.counter_call().line
+    line = rig.counter_call().connection_id
     rig.step(ev.CounterAnswered(line, i.End.OK, 1.0, True))
-    rig.step(ev.LineEnded(line, ev.Reached.WRITTEN))
+    rig.step(ev.ConnectionLost(line, ev.Progress.WRITTEN))
     ends = [e.end for e in heard if isinstance(e, i.Counted)]
     assert ends[0] is i.End.OK and set(ends[1:]) == {i.End.RESET}
 
@@ -164,29 +164,31 @@
 
 def test_the_watch_is_asked_again_at_once_and_after_a_break_within_200_ms() -> None:
     rig = ReducerRig()
-    line = rig.list_question().line
+    line = rig.list_question().connection_id
     rig.pass_time(timedelta(milliseconds=500))
-    rig.step(ev.NodeListAnswered(line, True, 9, i.ListKind.CHANGES, ()))
-    assert rig.list_question().since == 9
-    rig.step(ev.LineEnded(line, ev.Reached.WRITTEN))
+    rig.step(ev.ServerListAnswered(line, True, 9, i.ListKind.CHANGES, ()))
+    assert rig.list_question().since_version == 9
+    rig.step(ev.ConnectionLost(line, ev.Progress.WRITTEN))
     rig.pass_time(timedelta(milliseconds=150))
-    opened = [e for e in rig.out if isinstance(e, fx.OpenLine) and e.party is fx.Party.NODE_LIST]
+    opened = [
+        e for e in rig.out if isinstance(e, fx.OpenConnection) and e.destination is fx.Destination.SERVER_LIST
+    ]
     assert len(opened) == 2
 
 
 def test_an_agent_that_does_not_wait_or_talks_nonsense_is_neither_flooded_nor_logged_at_length() -> None:
     rig = ReducerRig()
     for asked in range(1, 21):
-        line = rig.list_question().line
-        rig.step(ev.NodeListAnswered(line, True, 9, i.ListKind.CHANGES, ()))
+        line = rig.list_question().connection_id
+        rig.step(ev.ServerListAnswered(line, True, 9, i.ListKind.CHANGES, ()))
         assert len(rig.list_questions()) == asked
         rig.pass_time(timedelta(milliseconds=150))
         assert len(rig.list_questions()) == asked + 1
     for _ in range(20):
-        rig.step(ev.NodeListAnswered(rig.list_question().line, False))
+        rig.step(ev.ServerListAnswered(rig.list_question().connection_id, False))
         rig.pass_time(timedelta(milliseconds=150))
         rig.bring_up()
-    assert rig.list_question().since is None
+    assert rig.list_question().since_version is None
     assert len([e for e in rig.out if isinstance(e, fx.Log)]) == 1
 
 
@@ -195,12 +197,12 @@
     rigs = [ReducerRig(seed=n) for n in range(8)]
     for rig in rigs:
         for _ in range(6):
-            rig.step(ev.NodeListAnswered(rig.list_question().line, False, turned_away=True))
+            rig.step(ev.ServerListAnswered(rig.list_question().connection_id, False, refused=True))
             asked = len(rig.list_questions())
             while len(rig.list_questions()) == asked:
                 rig.pass_time(timedelta(milliseconds=100))
                 rig.bring_up()
-        assert rig.list_question().since == 7, "what was told before is asked on from"
+        assert rig.list_question().since_version == 7, "what was told before is asked on from"
         assert rig.now - START > timedelta(seconds=4)
         assert [e.text for e in rig.out if isinstance(e, fx.Log)] == [
             "node list: has no turn for us; asking again, later each time"
@@ -221,7 +223,7 @@
     seconds = [at // timedelta(seconds=1) for at in first]
     assert max(seconds.count(n) for n in range(4)) <= 16
     rig = rigs[0]
-    rig.step(ev.NodeListAnswered(rig.list_question().line, False, turned_away=True))
+    rig.step(ev.ServerListAnswered(rig.list_question().connection_id, False, refused=True))
     asked = len(rig.list_questions())
     rig.pass_time(timedelta(milliseconds=1900))
     rig.bring_up()
@@ -230,9 +232,9 @@
 
 def test_a_silent_node_list_is_asked_anew_and_serving_goes_on() -> None:
     rig = ReducerRig()
-    line = rig.list_question().line
+    line = rig.list_question().connection_id
     rig.pass_time(timedelta(seconds=22))
-    assert fx.CloseLine(line) in rig.out
+    assert fx.CloseConnection(line) in rig.out
     rig.admit(CHECK)
     assert rig.attempt()
 
@@ -240,20 +242,22 @@
 def test_idle_connections_close_before_the_stock_node_would_and_when_it_is_gone() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().line
-    rig.step(ev.NodeAnswered(line, i.End.OK, True, b""))
+    line = rig.attempt().connection_id
+    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
     rig.pass_time(timedelta(seconds=8))
-    assert fx.CloseLine(line) not in rig.out
+    assert fx.CloseConnection(line) not in rig.out
     rig.pass_time(timedelta(seconds=2))
-    assert fx.CloseLine(line) in rig.out
+    assert fx.CloseConnection(line) in rig.out
     rig.admit(CHECK)
-    line = rig.attempt().line
-    rig.step(ev.NodeAnswered(line, i.End.OK, True, b""))
-    while rig.list_question().line not in rig.reducer.books.lines:  # it may be between two watches
+    line = rig.attempt().connection_id
+    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
+    while rig.list_question().connection_id not in rig.reducer.books.lines:  # it may be between two watches
         rig.pass_time(timedelta(milliseconds=100))
         rig.bring_up()
-    rig.step(ev.NodeListAnswered(rig.list_question().line, True, 12, i.ListKind.WHOLE, (node(99),)))
-    assert fx.CloseLine(line) in rig.out
+    rig.step(
+        ev.ServerListAnswered(rig.list_question().connection_id, True, 12, i.ListKind.WHOLE, (node(99),))
+    )
+    assert fx.CloseConnection(line) in rig.out
 
 
 def test_a_probe_goes_out_on_a_connection_and_its_report_comes_back() -> None:
@@ -268,23 +272,23 @@
 
     rig.reducer.gateway.handle = handle  # type: ignore[method-assign]
     rig.order(CHECK)
-    first, second = (e.line for e in rig.out if isinstance(e, fx.SendProbe))
-    rig.step(ev.NodeAnswered(first, i.End.OK, True, load={"util": 0.5}))
+    first, second = (e.connection_id for e in rig.out if isinstance(e, fx.SendProbe))
+    rig.step(ev.ServerAnswered(first, i.End.OK, True, load={"util": 0.5}))
     rig.pass_time(timedelta(milliseconds=300))
     told = [(e.server, e.end, e.load) for e in heard if isinstance(e, i.Probed)]
     assert told == [(2, i.End.OK, {"util": 0.5}), (3, i.End.TIMEOUT, {})]
-    assert fx.CloseLine(second) in rig.out and fx.CloseLine(first) not in rig.out
+    assert fx.CloseConnection(second) in rig.out and fx.CloseConnection(first) not in rig.out
 
 
 def test_close_drops_the_idle_connections_to_that_stock_node() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().line
-    rig.step(ev.NodeAnswered(line, i.End.OK, True, b""))
+    line = rig.attempt().connection_id
+    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
     node_number = rig.reducer.books.lines[line].node
     rig.reducer.gateway.handle = lambda now, events: [i.Close(node_number)]  # type: ignore[method-assign]
     rig.order(CHECK)
-    assert fx.CloseLine(line) in rig.out
+    assert fx.CloseConnection(line) in rig.out
 
 
 def test_a_full_house_of_connections_makes_room_or_says_so() -> None:
@@ -310,36 +314,36 @@
     asked = [e for e in rig.out if isinstance(e, fx.WakeAt)][-1]
     assert due < asked.at <= due + timedelta(milliseconds=3)
     rig.now = due
-    rig.step(ev.LineEnded(999_999, ev.Reached.WRITTEN))
+    rig.step(ev.ConnectionLost(999_999, ev.Progress.WRITTEN))
     assert [e for e in heard if isinstance(e, i.TimerFired)]
 
 
 def test_a_drain_answers_all_and_leaves_when_nothing_is_owed() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().line
-    rig.step(ev.DrainAsked())
-    rig.step(ev.CloseIdleAsked())
-    assert fx.CloseFront() in rig.out and fx.Leave() not in rig.out
-    rig.step(ev.NodeAnswered(line, i.End.OK, True, b""))
-    assert rig.answers[-1].last
-    assert fx.Leave() in rig.out
+    line = rig.attempt().connection_id
+    rig.step(ev.DrainRequested())
+    rig.step(ev.CloseIdleRequested())
+    assert fx.StopListening() in rig.out and fx.Exit() not in rig.out
+    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
+    assert rig.answers[-1].close_connection
+    assert fx.Exit() in rig.out
 
 
 def test_an_attempt_put_on_a_connection_that_is_over_goes_over_another_and_counts_once() -> None:
     rig = ReducerRig(nodes=1)
     rig.admit(PLACE)
-    old = rig.attempt().line
-    rig.step(ev.NodeAnswered(old, i.End.OK, True, b""))
+    old = rig.attempt().connection_id
+    rig.step(ev.ServerAnswered(old, i.End.OK, True, b""))
     rig.settle()
     rig.admit(PLACE)
-    assert rig.attempt().line == old
+    assert rig.attempt().connection_id == old
     heard = rig.listen()
-    rig.step(ev.LineStale(old))
+    rig.step(ev.ConnectionStale(old))
     rig.bring_up()
-    new = rig.attempt().line
+    new = rig.attempt().connection_id
     assert new != old and not [e for e in heard if isinstance(e, i.Outcome)]
-    rig.step(ev.NodeAnswered(new, i.End.OK, True, b""))
+    rig.step(ev.ServerAnswered(new, i.End.OK, True, b""))
     assert rig.answers[-1].status == 200
     assert [(e.attempt, e.end) for e in heard if isinstance(e, i.Outcome)] == [(0, i.End.OK)]
 
@@ -350,10 +354,13 @@
     rig.order(CHECK, account=1000)
     call = rig.counter_call()
     heard = rig.listen()
-    rig.step(ev.LineStale(call.line))
+    rig.step(ev.ConnectionStale(call.connection_id))
     rig.bring_up()
     again = rig.counter_call()
-    assert (again.name, again.amount) == (call.name, call.amount) and again.line != call.line
+    assert (again.name, again.amount) == (
+        call.name,
+        call.amount,
+    ) and again.connection_id != call.connection_id
     rig.count(total=2.0)
     assert [e.end for e in heard if isinstance(e, i.Counted)] == [i.End.OK]
 
@@ -370,38 +377,38 @@
 def test_an_answer_that_begins_and_does_not_go_on_is_given_up_soon(rest: bool) -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().line
-    rig.step(ev.AnswerBegun(line))
+    line = rig.attempt().connection_id
+    rig.step(ev.AnswerPartReceived(line))
     if rest:
-        rig.step(ev.NodeAnswered(line, i.End.OK, True, b""))
+        rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
     rig.pass_time(timedelta(milliseconds=310))
-    assert (fx.CloseLine(line) in rig.out) is not rest
+    assert (fx.CloseConnection(line) in rig.out) is not rest
     assert [a.status for a in rig.answers] == ([200] if rest else [])
     if not rest:
         rig.bring_up()
-        assert rig.attempt().line != line, "a stock-check is sent again"
+        assert rig.attempt().connection_id != line, "a stock-check is sent again"
 
 
 def test_a_counter_answer_that_does_not_go_on_frees_the_calls_behind_it() -> None:
     rig = ReducerRig()
     rig.order(CHECK)
-    line = rig.counter_call().line
-    rig.step(ev.AnswerBegun(line))
+    line = rig.counter_call().connection_id
+    rig.step(ev.AnswerPartReceived(line))
     rig.pass_time(timedelta(milliseconds=110))
-    assert fx.CloseLine(line) in rig.out
+    assert fx.CloseConnection(line) in rig.out
 
 
 @pytest.mark.parametrize("kind", [i.ListKind.CHANGES, i.ListKind.WHOLE])
 def test_a_new_stock_node_at_an_old_ones_address_takes_its_place(kind: i.ListKind) -> None:
     rig = ReducerRig(nodes=1)
     rig.admit(CHECK)
-    line = rig.attempt().line
-    rig.step(ev.NodeAnswered(line, i.End.OK, True, b""))
+    line = rig.attempt().connection_id
+    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
     heard = rig.listen()
-    old, new = node(1), ev.StockNode(node(1).address, i.ServerEntry(9, i.Health.READY, started=1.0))
+    old, new = node(1), ev.ListedServer(node(1).address, i.ServerEntry(9, i.Health.READY, started=1.0))
     told = (old, new) if kind is i.ListKind.WHOLE else (new,)
-    rig.step(ev.NodeListAnswered(rig.list_question().line, True, 8, kind, told))
-    assert fx.CloseLine(line) in rig.out
+    rig.step(ev.ServerListAnswered(rig.list_question().connection_id, True, 8, kind, told))
+    assert fx.CloseConnection(line) in rig.out
     assert set(rig.reducer.books.nodes) == {9}
     entries = [e for e in heard if isinstance(e, i.ServerList)][-1].entries
     assert [e.health for e in entries if e.server == 1][-1] is i.Health.GONE
@@ -414,8 +421,11 @@
     assert first.wait <= timedelta(seconds=1), "an agent that lives has answered by then"
     rig.pass_time(timedelta(milliseconds=1500))
     rig.bring_up()
-    assert fx.CloseLine(first.line) in rig.out
-    assert rig.list_question().line != first.line and rig.list_question().since == first.since
+    assert fx.CloseConnection(first.connection_id) in rig.out
+    assert (
+        rig.list_question().connection_id != first.connection_id
+        and rig.list_question().since_version == first.since_version
+    )
 
 
 @pytest.mark.parametrize("lives", [True, False])
@@ -427,11 +437,11 @@
     rig.pass_time(timedelta(milliseconds=100))
     if lives:
         account = 43
-        while rig.counter_call().line == dead.line:
+        while rig.counter_call().connection_id == dead.connection_id:
             rig.order(CHECK, account=account)
             account += 1
         rig.count(total=1.0)
     rig.pass_time(timedelta(milliseconds=150))
-    assert (fx.CloseLine(dead.line) in rig.out) is lives
+    assert (fx.CloseConnection(dead.connection_id) in rig.out) is lives
     rig.pass_time(timedelta(seconds=2))
-    assert fx.CloseLine(dead.line) in rig.out
+    assert fx.CloseConnection(dead.connection_id) in rig.out
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -183,12 +183,12 @@
         connection.data_received(harness.request("GET", "/stock-check"))
         end = clients.stop_listening if leaving else lambda: clients.dismiss(number)
         end()
-        while not isinstance(seen[-1], ev.OrderTaken):
+        while not isinstance(seen[-1], ev.RequestReceived):
             await asyncio.sleep(0)
             end()
         closing = asyncio.ensure_future(clients.close() if leaving else asyncio.sleep(0))
         await asyncio.sleep(0.15)
-        clients.answer(fx.AnswerClient(seen[-1].order, 200, b"done"))
+        clients.answer(fx.AnswerClient(seen[-1].request_id, 200, b"done"))
         assert (await harness.read_request(reader)).endswith(b"done")
         await closing
         await asyncio.sleep(0.01)
@@ -296,7 +296,7 @@
 def test_a_defect_in_one_event_is_told_and_stops_nothing_else() -> None:
     class Broken(Reducer):
         def step(self, event: ev.Event, now: datetime) -> list[fx.Effect]:
-            if isinstance(event, ev.ClientLeft):
+            if isinstance(event, ev.ClientDisconnected):
                 raise RuntimeError("a defect")
             return [fx.Log(type(event).__name__)]
 
@@ -304,10 +304,10 @@
         told: list[str] = []
         exchange = Exchange(Broken(house()), lambda: START, NodeListReader(()), told.append, lambda: None)
         for _ in range(30):
-            exchange.report(ev.ClientLeft(1))
-        exchange.report(ev.Woken())
-        assert told[0] == "fault: ClientLeft: RuntimeError('a defect')"
-        assert len(told) == 21 and told[-1] == "Woken"
+            exchange.report(ev.ClientDisconnected(1))
+        exchange.report(ev.WakeUpDue())
+        assert told[0] == "fault: ClientDisconnected: RuntimeError('a defect')"
+        assert len(told) == 21 and told[-1] == "WakeUpDue"
 
     asyncio.run(scene())
 
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -19,7 +19,7 @@
 
 STOPPED_ACCEPTING = b"no more connections, another process takes them"
 AT = record.Moment(START, START - START)
-BAN = ev.MaintMark("s-1", 7, True, START)
+BAN = ev.BanStatus("s-1", 7, True, START)
 
 
 async def has_recorded(ingress: harness.Ingress, words: bytes) -> None:
@@ -104,34 +104,34 @@
 # --- the reducer -------------------------------------------------------------------------------------------
 def draining(successor: bool = True) -> ReducerRig:
     rig = ReducerRig()
-    rig.step(ev.ClientCame(1))
+    rig.step(ev.ClientConnected(1))
     rig.admit(CHECK)
-    rig.step(ev.OthersServing(successor))
-    rig.step(ev.DrainAsked(successor))
+    rig.step(ev.OtherProcessAccepting(successor))
+    rig.step(ev.DrainRequested(successor))
     return rig
 
 
 def test_clients_are_accepted_again_only_while_there_is_time_to_answer_them() -> None:
     rig = draining()
-    rig.step(ev.OthersServing(False))
-    assert fx.AcceptAgain() in rig.out
+    rig.step(ev.OtherProcessAccepting(False))
+    assert fx.ResumeAccepting() in rig.out
     late = draining()
     assert late.reducer.books.drain is not None
     late.now = late.reducer.books.drain.close_idle
-    late.step(ev.Woken())
-    late.step(ev.OthersServing(False))
-    assert fx.AcceptAgain() not in late.out
+    late.step(ev.WakeUpDue())
+    late.step(ev.OtherProcessAccepting(False))
+    assert fx.ResumeAccepting() not in late.out
     alone = draining(successor=False)
-    alone.step(ev.OthersServing(False))
-    assert fx.AcceptAgain() not in alone.out
+    alone.step(ev.OtherProcessAccepting(False))
+    assert fx.ResumeAccepting() not in alone.out
 
 
 def test_bans_of_the_other_process_are_kept_once() -> None:
     rig = ReducerRig()
-    rig.step(ev.MarksFound((BAN,), keep=True))
-    assert sum(isinstance(e, fx.KeepMarks) for e in rig.out) == 1
-    rig.step(ev.MarksFound((BAN,), keep=True))
-    assert sum(isinstance(e, fx.KeepMarks) for e in rig.out) == 1
+    rig.step(ev.BansReceived((BAN,), persist=True))
+    assert sum(isinstance(e, fx.PersistBans) for e in rig.out) == 1
+    rig.step(ev.BansReceived((BAN,), persist=True))
+    assert sum(isinstance(e, fx.PersistBans) for e in rig.out) == 1
 
 
 # --- the link ----------------------------------------------------------------------------------------------
@@ -154,19 +154,19 @@
         await old.start()
         old.tell_serving(True)
         await new.start()
-        await until("new", ev.OthersServing(True))
-        assert ev.OthersServing(True) not in heard["old"], "it is not ready"
+        await until("new", ev.OtherProcessAccepting(True))
+        assert ev.OtherProcessAccepting(True) not in heard["old"], "it is not ready"
         new.tell_serving(True)
-        await until("old", ev.OthersServing(True))
+        await until("old", ev.OtherProcessAccepting(True))
         new.tell_bans((BAN,))
-        await until("old", ev.MarksFound((BAN,), keep=True))
+        await until("old", ev.BansReceived((BAN,), persist=True))
         await third.start()
         third.tell_serving(True)
         new.tell_serving(False)
         third.close()
-        await until("old", ev.OthersServing(False))
+        await until("old", ev.OtherProcessAccepting(False))
         old.close()
-        await until("new", ev.OthersServing(False))
+        await until("new", ev.OtherProcessAccepting(False))
         new.close()
 
     asyncio.run(asyncio.wait_for(play(), 30))
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from opalgauge.lifecycle.config import ConfigError, flatten, make_config
-from opalgauge.memory.events import Errand
+from opalgauge.memory.events import HttpRequest
 from opalgauge.wire import quota_counter, stock_nodes
 from opalgauge.wire.clients import Trade, read_order
 from opalgauge.wire.line import Reply
@@ -39,7 +39,7 @@
 
 
 def test_an_attempt_states_its_time_and_changes_nothing_else() -> None:
-    errand = Errand("POST", "/place-order?a=%2F", "abc", (("Content-Type", "text/x"),), b"\x00\xff")
+    errand = HttpRequest("POST", "/place-order?a=%2F", "abc", (("Content-Type", "text/x"),), b"\x00\xff")
     assert stock_nodes.attempt_bytes(errand, timedelta(milliseconds=480)) == (
         b"POST /place-order?a=%2F HTTP/1.1\r\nHost: stock-node\r\nX-Correlation-Id: abc\r\n"
         b"X-Time-Left: 0.480\r\nContent-Type: text/x\r\nContent-Length: 2\r\n\r\n\x00\xff"
@@ -104,16 +104,16 @@
     told = quota_counter.understand_total(1, answer)
     assert (told.end, told.total) == (end, total)
     # Where it cannot be read the connection is of no further use, whatever its headers say.
-    assert told.keep is (end is not i.End.ERROR)
+    assert told.keep_alive is (end is not i.End.ERROR)
 
 
 def test_the_node_list_is_read_in_the_deployments_words() -> None:
     reader = NodeListReader(("bat-a", "bat-b"))
     told = reader.understand(1, reply(200, json.dumps({"seq": 43, "whole": False, "hosts": [HOST]}).encode()))
-    assert (told.version, told.kind) == (43, i.ListKind.CHANGES)
-    assert told.nodes is not None
-    assert told.nodes[0].address == "127.0.0.9:5000"
-    assert told.nodes[0].entry == i.ServerEntry(
+    assert (told.version, told.list_kind) == (43, i.ListKind.CHANGES)
+    assert told.servers is not None
+    assert told.servers[0].address == "127.0.0.9:5000"
+    assert told.servers[0].entry == i.ServerEntry(
         node_number("s-5be2a07c"), i.Health.DRAINING, zone=1, cell=3, started=1.5, weight=1.5
     )
     assert node_number("s-5be2a07c") != node_number("s-5be2a07d")
@@ -127,7 +127,7 @@
     [b"{}", b'{"seq":1,"whole":true,"hosts":[7]}', b'{"seq":1,"whole":true,"hosts":[{}]}', b"\xff"],
 )
 def test_an_unreadable_node_list_is_said_to_be_so(body: bytes) -> None:
-    assert NodeListReader(()).understand(1, reply(200, body)).nodes is None
+    assert NodeListReader(()).understand(1, reply(200, body)).servers is None
 
 
 def test_settings_flatten_to_the_lines_that_the_module_reads() -> None:
@@ -174,7 +174,7 @@
         },
     )  # fmt: skip
     order = read_order(request, 1, 1, b"{}", trade)
-    sent = stock_nodes.attempt_bytes(order.errand, timedelta(milliseconds=400))
+    sent = stock_nodes.attempt_bytes(order.http_request, timedelta(milliseconds=400))
     assert b"\r\nIdempotency-Key: 5c0f6e1a\r\n" in sent and sent.startswith(b"POST /place-order/7?x=1 ")
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from opalgauge.lab.zones import Scene, World
-from opalgauge.memory.effects import AttemptSeen
+from opalgauge.memory.effects import ReportAttempt
 from opalgauge.memory.sealed import LONGEST
 from opalgauge.zones import messages
 from opalgauge.zones.health import Opinion
@@ -38,8 +38,8 @@
     def attempt(self, node: int, end: i.End, took: timedelta = 60 * MS) -> None:
         self.number += 1
         zone, key = (node - 1) // self.sizes, (self.number, 0)
-        self.watch.seen(AttemptSeen(key, node, zone, 0), self.now - took)
-        self.watch.seen(AttemptSeen(key, node, zone, 0, end, took), self.now)
+        self.watch.seen(ReportAttempt(key, node, zone, 0), self.now - took)
+        self.watch.seen(ReportAttempt(key, node, zone, 0, end, took), self.now)
 
     def peer(
         self, number: int, *opinions: Opinion, state: State = State.IN, age: timedelta = 0 * MS, good: int = 0
@@ -99,8 +99,8 @@
 
 
 def tried(post: Post, node: int, end: i.End) -> None:
-    post.watch.seen(AttemptSeen((0, node), node, (node - 1) // post.sizes, 0), post.now - 20 * MS)
-    post.watch.seen(AttemptSeen((0, node), node, (node - 1) // post.sizes, 0, end, 20 * MS), post.now)
+    post.watch.seen(ReportAttempt((0, node), node, (node - 1) // post.sizes, 0), post.now - 20 * MS)
+    post.watch.seen(ReportAttempt((0, node), node, (node - 1) // post.sizes, 0, end, 20 * MS), post.now)
 
 
 def test_who_hears_nobody_asks_after_a_zone_that_its_own_requests_no_longer_reach() -> None:
