--- a/opalgauge/cli/bench.py
+++ b/opalgauge/cli/bench.py
@@ -38,7 +38,7 @@
 )
 def cores(cores: list[int], seconds: float, path: Path | None, rounds: int) -> None:
     """Throughput, answer times, cost and drift by core count; then a worker stalls, and one dies."""
-    from opalgauge.lab.cores import bench
+    from opalgauge.lab.bench_cores import bench
 
     write_json(path, bench(cores, seconds, rounds, click.echo))
 
@@ -53,6 +53,6 @@
 
     if prefer():
         click.echo("with the compiled modules")
-    from opalgauge.lab.request import bench
+    from opalgauge.lab.bench_request import bench
 
     write_json(path, bench(rounds, seconds, click.echo))
--- a/opalgauge/cli/stand_ins.py
+++ b/opalgauge/cli/stand_ins.py
@@ -28,7 +28,7 @@
 
 
 async def run(counter: str, nodes: list[str], delay: float) -> None:
-    from opalgauge.lab.standins import Counter, Http, Nodes
+    from opalgauge.lab.stand_ins import Counter, Http, Nodes
 
     loop = asyncio.get_running_loop()
     total, work = Counter(), Nodes(delay)
--- a/opalgauge/lab/cores.py
+++ b/opalgauge/lab/bench_cores.py
@@ -15,7 +15,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from opalgauge.lab.load import HIGHEST
+from opalgauge.lab.load_generator import HIGHEST
 from opalgauge.lab.testbed import CEILING, WINDOW, loads, results, testbed
 from starlinggap.quota import counter_name
 
--- a/opalgauge/lab/fleet.py
+++ b/opalgauge/lab/fleet.py
@@ -18,11 +18,11 @@
 from pathlib import Path
 from typing import Any
 
-from opalgauge.lab.faults import Proxy, Schedule
-from opalgauge.lab.nodes import Model, Node
+from opalgauge.lab.fault_proxy import Proxy, Schedule
 from opalgauge.lab.ports import free_ports
 from opalgauge.lab.quotas import Customer, Load, Tariff, Verdict
-from opalgauge.lab.standins import Counter, Http
+from opalgauge.lab.server_model import Model, Node
+from opalgauge.lab.stand_ins import Counter, Http
 
 SLACK = 0.5  # s: an answer so long after its client's time is lost
 KINDS = (("view", "GET", 0.5, 1.0), ("order", "POST", 0.3, 5.0), ("add", "POST", 0.2, 2.0))  # share, worth
@@ -157,7 +157,7 @@
     async def launch(self, me: int) -> None:
         env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
         skews = self.plan.skews
-        program = ["opalgauge.lab.skewed", str(skews[me])] if skews else ["opalgauge.cli.main"]
+        program = ["opalgauge.lab.skewed_clock", str(skews[me])] if skews else ["opalgauge.cli.main"]
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", *program, "serve", "--settings", str(self.settings[me]),
             env=env, stderr=asyncio.subprocess.PIPE, stdin=asyncio.subprocess.DEVNULL,
--- a/opalgauge/lab/load.py
+++ b/opalgauge/lab/load_generator.py
@@ -1,7 +1,8 @@
 """Clients that load an ingress, in a process of their own; open loop, or as fast as answers come.
 
-`python -m opalgauge.lab.load SPEC` takes a JSON object: `address`, `seconds`, `connections`, `rate` (requests
-a second, drawn ahead; 0: closed loop), `accounts` (a list of [number, tariff, units, weight]), `seed`, `tag`.
+`python -m opalgauge.lab.load_generator SPEC` takes a JSON object: `address`, `seconds`, `connections`,
+`rate` (requests a second, drawn ahead; 0: closed loop), `accounts` (a list of [number, tariff, units,
+weight]), `seed`, `tag`.
 A request's time is measured from its intended start, so that a late one counts as late (no coordinated
 omission). Prints one JSON object: counts by status, `lost` (no whole answer), `late` (after its time),
 `wrong` (an answer that no node made), the answer times as an encoded HdrHistogram in microseconds.
--- a/opalgauge/lab/nodes.py
+++ b/opalgauge/lab/server_model.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from opalgauge.lab.standins import DONE, Http
+from opalgauge.lab.stand_ins import DONE, Http
 
 UNPROCESSED = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
--- a/opalgauge/lab/skewed.py
+++ b/opalgauge/lab/skewed_clock.py
@@ -1,4 +1,5 @@
-"""Starts the command line with a clock that is off: `python -m opalgauge.lab.skewed SECONDS serve …`."""
+"""Starts the command line with a clock that is off:
+`python -m opalgauge.lab.skewed_clock SECONDS serve …`."""
 
 from __future__ import annotations
 
--- a/opalgauge/lab/standins.py
+++ b/opalgauge/lab/stand_ins.py
@@ -1,6 +1,6 @@
 """Stand-ins for stock nodes and quota counter, lean enough to measure an ingress against: one process each.
 
-`python -m opalgauge.lab.standins node|counter ADDRESS … [key=value …]`; SIGTERM prints what was seen as one
+`python -m opalgauge.lab.stand_ins node|counter ADDRESS … [key=value …]`; SIGTERM prints what was seen as one
 JSON line and ends. A stock node answers a GET or POST after `delay` (s) and tallies the ids it was sent, and
 the units that a target tells as `/KIND/ACCOUNT/UNITS`. The counter keeps totals by name, each for its life.
 """
--- a/opalgauge/lab/testbed.py
+++ b/opalgauge/lab/testbed.py
@@ -105,9 +105,9 @@
     port, quota, *rest = ports
     addresses = [f"127.0.0.1:{p}" for p in rest]
     parts = {
-        "counter": [start("opalgauge.lab.standins", "counter", f"127.0.0.1:{quota}")],
+        "counter": [start("opalgauge.lab.stand_ins", "counter", f"127.0.0.1:{quota}")],
         "node": [
-            start("opalgauge.lab.standins", "node", *addresses[n::node_processes], f"delay={delay}")
+            start("opalgauge.lab.stand_ins", "node", *addresses[n::node_processes], f"delay={delay}")
             for n in range(min(nodes, node_processes))
         ],
     }
@@ -141,7 +141,7 @@
 
 
 def loads(specs: Sequence[dict[str, Any]]) -> list[subprocess.Popen[str]]:
-    return [start("opalgauge.lab.load", json.dumps(spec)) for spec in specs]
+    return [start("opalgauge.lab.load_generator", json.dumps(spec)) for spec in specs]
 
 
 def results(processes: Sequence[subprocess.Popen[str]], limit: float) -> list[dict[str, Any]]:
--- a/opalgauge/lab/zones.py
+++ b/opalgauge/lab/zone_simulation.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from opalgauge.lab.nodes import Model
+from opalgauge.lab.server_model import Model
 from opalgauge.lab.simulation import ROUND, Simulation
 from opalgauge.memory.effects import AttemptSeen
 from opalgauge.zones import messages
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from opalgauge.lab.leases import Scene, World
+from opalgauge.lab.lease_simulation import Scene, World
 from opalgauge.lab.quotas import TARIFFS, Tariff, Verdict, bound, by_tariff, replay
 from opalgauge.leases import messages
 from opalgauge.leases.actions import Action, CallCounter, ReportUse, SendMessage, TellTotal
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from opalgauge.lab.copies import Scene, World
+from opalgauge.lab.replica_simulation import Scene, World
 from opalgauge.memory.sealed import LONGEST
 from opalgauge.replica import messages
 from opalgauge.replica.clock import Clock
--- a/tests/test_zone_scenes.py
+++ b/tests/test_zone_scenes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from opalgauge.lab.experiments import leaving
-from opalgauge.lab.faults import Fault, Schedule, ScheduleError
+from opalgauge.lab.fault_proxy import Fault, Schedule, ScheduleError
 from opalgauge.lab.fleet import Plan, Result, play
 
 CUT, BACK, END = 1.5, 5.0, 9.5
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from opalgauge.lab.zones import Scene, World
+from opalgauge.lab.zone_simulation import Scene, World
 from opalgauge.memory.effects import AttemptSeen
 from opalgauge.memory.sealed import LONGEST
 from opalgauge.zones import messages
