--- a/opalgauge/cli/stand_ins.py
+++ b/opalgauge/cli/stand_ins.py
@@ -28,18 +28,18 @@
 
 
 async def run(counter: str, nodes: list[str], delay: float) -> None:
-    from opalgauge.lab.stand_ins import Counter, Http, Nodes
+    from opalgauge.lab.stand_ins import HttpConnection, StandInCounter, StandInServers
 
     loop = asyncio.get_running_loop()
-    total, work = Counter(), Nodes(delay)
+    total, work = StandInCounter(), StandInServers(delay)
     over = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, over.set)
     servers = []
     for address in (counter, *nodes):
         host, _, port = address.rpartition(":")
-        take = total.take if address == counter else work.take
-        servers.append(await loop.create_server(partial(Http, take), host.strip("[]"), int(port)))
+        take = total.handle if address == counter else work.handle
+        servers.append(await loop.create_server(partial(HttpConnection, take), host.strip("[]"), int(port)))
     click.echo(f"up: a quota counter at {counter}, {len(nodes)} stock nodes; SIGINT ends them")
     await over.wait()
     for server in servers:
--- a/opalgauge/lab/bench_cores.py
+++ b/opalgauge/lab/bench_cores.py
@@ -15,116 +15,126 @@
 
 from hdrh.histogram import HdrHistogram
 
-from opalgauge.lab.load_generator import HIGHEST
-from opalgauge.lab.testbed import CEILING, WINDOW, loads, results, testbed
+from opalgauge.lab.load_generator import MAX_LATENCY_US
+from opalgauge.lab.testbed import CEILING, WINDOWS, load_results, start_load_generators, testbed
 from starlinggap.quota import counter_name
 
 ACCOUNTS = 200
-CLIENTS = 2  # processes
-SHARE = 0.6  # of the throughput found: the rate of the open loop
-FULL = 0.95  # of the service before: service is full again
+CLIENT_PROCESSES = 2  # processes
+OPEN_LOOP_SHARE = 0.6  # of the throughput found: the rate of the open loop
+FULL_SERVICE_SHARE = 0.95  # of the service before: service is full again
 
 
 def accounts() -> list[list[Any]]:
     """Number, tariff, units and weight. The last one is far over its ceiling at any load worth measuring."""
-    many: list[list[Any]] = [[1000 + n, "negoce", 1 + n % 3, 1.0 / (1 + n / 50)] for n in range(ACCOUNTS)]
-    total = sum(a[3] for a in many)
-    return [*many, [9, "entreprise", 2, total * 0.05]]
+    rows: list[list[Any]] = [
+        [1000 + index, "negoce", 1 + index % 3, 1.0 / (1 + index / 50)] for index in range(ACCOUNTS)
+    ]
+    total = sum(row[3] for row in rows)
+    return [*rows, [9, "entreprise", 2, total * 0.05]]
 
 
-def _specs(
+def _load_specs(
     address: str,
     seconds: float,
     rate: float,
     connections: int,
     tag: str,
-    asked: list[list[Any]] | None = None,
+    account_rows: list[list[Any]] | None = None,
 ) -> list[dict[str, Any]]:
     return [
         {
-            "address": address, "seconds": seconds, "connections": connections // CLIENTS,
-            "rate": rate / CLIENTS, "accounts": asked or accounts(), "seed": n + 1, "tag": f"{tag}{n}-",
+            "address": address, "seconds": seconds, "connections": connections // CLIENT_PROCESSES,
+            "rate": rate / CLIENT_PROCESSES, "accounts": account_rows or accounts(), "seed": index + 1,
+            "tag": f"{tag}{index}-",
         }
-        for n in range(CLIENTS)
+        for index in range(CLIENT_PROCESSES)
     ]  # fmt: skip
 
 
-def _sum(told: Sequence[dict[str, Any]], key: str) -> int:
-    return sum(int(t[key]) for t in told)
+def _total(reports: Sequence[dict[str, Any]], key: str) -> int:
+    return sum(int(report[key]) for report in reports)
 
 
-def _status(told: Sequence[dict[str, Any]]) -> dict[str, int]:
-    both: dict[str, int] = {}
-    for t in told:
-        for status, n in t["status"].items():
-            both[status] = both.get(status, 0) + n
-    return dict(sorted(both.items()))
+def _status_counts(reports: Sequence[dict[str, Any]]) -> dict[str, int]:
+    counts: dict[str, int] = {}
+    for report in reports:
+        for status, count in report["status"].items():
+            counts[status] = counts.get(status, 0) + count
+    return dict(sorted(counts.items()))
 
 
-def by_account(
-    seen: dict[str, list[dict[str, Any]]], began: float, ended: float
+def usage_by_account(
+    reports: dict[str, list[dict[str, Any]]], started: float, ended: float
 ) -> dict[str, dict[str, float]]:
     """Units sent on, units counted and the quota, for each account that was asked for.
 
     The counter knows scrambled names only, so each account's names are made again for every window.
     """
     sent: dict[str, float] = {}
-    for node in seen["node"]:
-        for account, units in node["units"].items():
+    for server in reports["node"]:
+        for account, units in server["units"].items():
             sent[account] = sent.get(account, 0.0) + units
-    sums = seen["counter"][0]["sums"]
-    out = {}
-    for number, tariff, _units, _weight in accounts():
-        length = WINDOW[tariff]
-        windows = range(int(began // length) - 2, int(ended // length) + 3)
+    sums = reports["counter"][0]["sums"]
+    usage = {}
+    for number, plan, _units, _weight in accounts():
+        window_length = WINDOWS[plan]
+        windows = range(int(started // window_length) - 2, int(ended // window_length) + 3)
         counted = sum(sums.get(f"{counter_name(number, window):x}", 0.0) for window in windows)
-        rate = {"negoce": 100_000.0, "entreprise": 60.0}[tariff]
-        quota = rate * (ended - began) + rate * length
-        out[str(number)] = {"sent": sent.get(str(number), 0.0), "counted": counted, "quota": quota}
-    return out
+        rate = {"negoce": 100_000.0, "entreprise": 60.0}[plan]
+        quota = rate * (ended - started) + rate * window_length
+        usage[str(number)] = {"sent": sent.get(str(number), 0.0), "counted": counted, "quota": quota}
+    return usage
 
 
-def drift(told: dict[str, dict[str, float]]) -> float:
-    sent = sum(a["sent"] for a in told.values())
-    off = sum(abs(a["sent"] - a["counted"]) for a in told.values())
-    return 100 * off / sent if sent else 0.0
+def drift_percent(usage: dict[str, dict[str, float]]) -> float:
+    sent = sum(account["sent"] for account in usage.values())
+    difference = sum(abs(account["sent"] - account["counted"]) for account in usage.values())
+    return 100 * difference / sent if sent else 0.0
 
 
-def measure(cores: int, seconds: float, say: Callable[[str], None]) -> dict[str, Any]:
+def measure_cores(cores: int, seconds: float, echo: Callable[[str], None]) -> dict[str, Any]:
     """One core count: throughput, answer times, cost, drift from the counter's count."""
-    with testbed(cores) as made:
-        began = time.time()
-        results(loads(_specs(made.address, 2.0, 0, 16 * cores, "w")), 30)
-        cpu = made.cost()[0]
-        full = results(loads(_specs(made.address, seconds, 0, 48 * cores, "c")), seconds + 30)
-        spent, rss = made.cost()
-        answered = sum(_status(full).values())
-        per_s = answered / max(t["took"] for t in full)
-        open_loop = results(
-            loads(_specs(made.address, seconds, SHARE * per_s, 96 * cores, "o")), seconds + 30
+    with testbed(cores) as bed:
+        started = time.time()
+        load_results(start_load_generators(_load_specs(bed.address, 2.0, 0, 16 * cores, "w")), 30)
+        cpu_before = bed.resource_usage()[0]
+        closed_loop = load_results(
+            start_load_generators(_load_specs(bed.address, seconds, 0, 48 * cores, "c")), seconds + 30
         )
-        rss = max(rss, made.cost()[1])
+        cpu_after, rss = bed.resource_usage()
+        answered = sum(_status_counts(closed_loop).values())
+        throughput = answered / max(report["took"] for report in closed_loop)
+        open_loop = load_results(
+            start_load_generators(
+                _load_specs(bed.address, seconds, OPEN_LOOP_SHARE * throughput, 96 * cores, "o")
+            ),
+            seconds + 30,
+        )
+        rss = max(rss, bed.resource_usage()[1])
         ended = time.time()
-        made.close()
-    times = HdrHistogram(1, HIGHEST, 3)
-    for t in open_loop:
-        times.decode_and_add(t["histogram"])
-    told = by_account(made.seen, began, ended)
-    both = [*full, *open_loop]
-    rate, depth, slack = CEILING
+        bed.close()
+    latencies = HdrHistogram(1, MAX_LATENCY_US, 3)
+    for report in open_loop:
+        latencies.decode_and_add(report["histogram"])
+    usage = usage_by_account(bed.reports, started, ended)
+    reports = [*closed_loop, *open_loop]
+    rate, burst, slack = CEILING
     run = {
-        "cores": cores, "requests_per_s": round(per_s), "open_loop_per_s": round(SHARE * per_s),
+        "cores": cores, "requests_per_s": round(throughput),
+        "open_loop_per_s": round(OPEN_LOOP_SHARE * throughput),
         **{
-            name: round(times.get_value_at_percentile(at) / 1000, 2)
-            for name, at in (("p50_ms", 50), ("p99_ms", 99), ("p999_ms", 99.9))
+            name: round(latencies.get_value_at_percentile(percentile) / 1000, 2)
+            for name, percentile in (("p50_ms", 50), ("p99_ms", 99), ("p999_ms", 99.9))
         },
-        "cpu_us_per_request": round((spent - cpu) / answered * 1e6),
-        "rss_mb": round(rss), "drift_percent": round(drift(told), 3),
-        "lost": _sum(both, "lost") + _sum(both, "wrong"), "late": _sum(both, "late"),
-        "doubled": sum(n["doubled"] for n in made.seen["node"]), "status": _status(both),
-        "ceiling_passed": told["9"]["sent"] > rate * (ended - began) + depth + slack, "accounts": told,
+        "cpu_us_per_request": round((cpu_after - cpu_before) / answered * 1e6),
+        "rss_mb": round(rss), "drift_percent": round(drift_percent(usage), 3),
+        "lost": _total(reports, "lost") + _total(reports, "wrong"), "late": _total(reports, "late"),
+        "doubled": sum(report["doubled"] for report in bed.reports["node"]),
+        "status": _status_counts(reports),
+        "ceiling_passed": usage["9"]["sent"] > rate * (ended - started) + burst + slack, "accounts": usage,
     }  # fmt: skip
-    say(
+    echo(
         f"{cores:>2} cores {run['requests_per_s']:>7}/s  p50 {run['p50_ms']} p99 {run['p99_ms']} "
         f"p99.9 {run['p999_ms']} ms  {run['cpu_us_per_request']} us  {run['rss_mb']} MB  "
         f"drift {run['drift_percent']}%  lost {run['lost']} doubled {run['doubled']} late {run['late']}"
@@ -132,108 +142,139 @@
     return run
 
 
-def harm(
-    cores: int, rate: float, how: str, say: Callable[[str], None], seconds: float = 8.0
+def measure_worker_fault(
+    cores: int, rate: float, fault: str, echo: Callable[[str], None], seconds: float = 8.0
 ) -> dict[str, Any]:
     """One worker is stopped (`stall`) or killed (`kill`) under an open loop: what it cost, and how long.
 
     The nodes answer after 20 ms, so that attempts are out when it happens.
     """
-    with testbed(cores, delay=0.02) as made:
-        began = time.time()
-        inside = accounts()[:-1]  # so that whatever is refused is refused for the worker's sake
-        results(loads(_specs(made.address, 2.0, 0, 16 * cores, "w", inside)), 30)
-        running = loads(_specs(made.address, seconds, rate, 128 * cores, "h", inside))
+    with testbed(cores, delay=0.02) as bed:
+        started = time.time()
+        within_quota = accounts()[:-1]  # so that whatever is refused is refused for the worker's sake
+        load_results(
+            start_load_generators(_load_specs(bed.address, 2.0, 0, 16 * cores, "w", within_quota)), 30
+        )
+        generators = start_load_generators(
+            _load_specs(bed.address, seconds, rate, 128 * cores, "h", within_quota)
+        )
         time.sleep(0.4 * seconds)
-        victim = made.seat(cores - 1)
-        os.kill(victim.pid, signal.SIGSTOP if how == "stall" else signal.SIGKILL)
-        struck = time.time()
-        told = results(running, seconds + 30)
+        victim = bed.worker_process(cores - 1)
+        os.kill(victim.pid, signal.SIGSTOP if fault == "stall" else signal.SIGKILL)
+        fault_time = time.time()
+        reports = load_results(generators, seconds + 30)
         ended = time.time()
-        new = made.seat(cores - 1).pid
-        log = [line for line in made.lines if "worker " in line]
-        made.close()
+        successor_pid = bed.worker_process(cores - 1).pid
+        log = [line for line in bed.log if "worker " in line]
+        bed.close()
     tenths: dict[int, int] = {}
-    for t in told:
-        for tenth, good in t["tenths"].items():
-            tenths[int(tenth)] = tenths.get(int(tenth), 0) + good
-    at = int((struck - min(t["began"] for t in told)) * 10)
-    usual = sum(tenths.get(n, 0) for n in range(max(0, at - 15), at)) / max(1, min(15, at))
-    last = int(seconds * 10) - 5
-    half_seconds = {n: sum(tenths.get(m, 0) for m in range(n, n + 5)) for n in range(at, last)}
-    full = next((n for n, served in half_seconds.items() if served >= FULL * 5 * usual), last)
-    units = by_account(made.seen, began, ended)
-    out = {
-        "cores": cores, "rate": round(rate), "lost": _sum(told, "lost") + _sum(told, "wrong"),
-        "doubled": sum(n["doubled"] for n in made.seen["node"]), "late": _sum(told, "late"),
-        "resent": _sum(told, "resent"),
-        "failed": {k: v for k, v in _status(told).items() if k != "200"},
-        "seconds_until_full_service": round((full - at) / 10, 1), "drift_percent": round(drift(units), 3),
-        "new_life": new != victim.pid, "log": log[-4:],
+    for report in reports:
+        for tenth, served in report["tenths"].items():
+            tenths[int(tenth)] = tenths.get(int(tenth), 0) + served
+    fault_tenth = int((fault_time - min(report["began"] for report in reports)) * 10)
+    usual_served = sum(tenths.get(tenth, 0) for tenth in range(max(0, fault_tenth - 15), fault_tenth)) / max(
+        1, min(15, fault_tenth)
+    )
+    last_tenth = int(seconds * 10) - 5
+    half_seconds = {
+        tenth: sum(tenths.get(part, 0) for part in range(tenth, tenth + 5))
+        for tenth in range(fault_tenth, last_tenth)
+    }
+    recovered_tenth = next(
+        (tenth for tenth, served in half_seconds.items() if served >= FULL_SERVICE_SHARE * 5 * usual_served),
+        last_tenth,
+    )
+    usage = usage_by_account(bed.reports, started, ended)
+    figures = {
+        "cores": cores, "rate": round(rate), "lost": _total(reports, "lost") + _total(reports, "wrong"),
+        "doubled": sum(report["doubled"] for report in bed.reports["node"]), "late": _total(reports, "late"),
+        "resent": _total(reports, "resent"),
+        "failed": {status: count for status, count in _status_counts(reports).items() if status != "200"},
+        "seconds_until_full_service": round((recovered_tenth - fault_tenth) / 10, 1),
+        "drift_percent": round(drift_percent(usage), 3),
+        "new_life": successor_pid != victim.pid, "log": log[-4:],
     }  # fmt: skip
-    say(
-        f"{how:>5}: {cores} cores at {rate:.0f}/s: lost {out['lost']} doubled {out['doubled']} "
-        f"late {out['late']}, full service after {out['seconds_until_full_service']} s, "
-        f"not served {out['failed']}"
+    echo(
+        f"{fault:>5}: {cores} cores at {rate:.0f}/s: lost {figures['lost']} doubled {figures['doubled']} "
+        f"late {figures['late']}, full service after {figures['seconds_until_full_service']} s, "
+        f"not served {figures['failed']}"
     )
-    return out
+    return figures
 
 
-def uneven(cores: int, seconds: float, say: Callable[[str], None]) -> dict[str, Any]:
+def measure_uneven_load(cores: int, seconds: float, echo: Callable[[str], None]) -> dict[str, Any]:
     """One account is half of all traffic: what each worker's CPU did meanwhile, in closed loop."""
-    many = accounts()[:-1]
-    many[0][3] = sum(a[3] for a in many[1:])
-    with testbed(cores) as made:
-        results(loads(_specs(made.address, 3.0, 0, 48 * cores, "w", many)), 30)
-        seats = [made.seat(n) for n in range(cores)]
-        before = [sum(p.cpu_times()[:2]) for p in seats]
-        told = results(loads(_specs(made.address, seconds, 0, 48 * cores, "u", many)), seconds + 30)
-        took = max(t["took"] for t in told)
-        busy = [(sum(p.cpu_times()[:2]) - b) / took for p, b in zip(seats, before, strict=True)]
-        made.close()
-    out = {
-        "cores": cores, "requests_per_s": round(sum(_status(told).values()) / took),
-        "cpu_by_worker": [round(b, 2) for b in busy], "lost": _sum(told, "lost"),
-        "doubled": sum(n["doubled"] for n in made.seen["node"]),
+    rows = accounts()[:-1]
+    rows[0][3] = sum(row[3] for row in rows[1:])
+    with testbed(cores) as bed:
+        load_results(start_load_generators(_load_specs(bed.address, 3.0, 0, 48 * cores, "w", rows)), 30)
+        workers = [bed.worker_process(number) for number in range(cores)]
+        cpu_before = [sum(process.cpu_times()[:2]) for process in workers]
+        reports = load_results(
+            start_load_generators(_load_specs(bed.address, seconds, 0, 48 * cores, "u", rows)), seconds + 30
+        )
+        took = max(report["took"] for report in reports)
+        cpu_shares = [
+            (sum(process.cpu_times()[:2]) - before) / took
+            for process, before in zip(workers, cpu_before, strict=True)
+        ]
+        bed.close()
+    figures = {
+        "cores": cores, "requests_per_s": round(sum(_status_counts(reports).values()) / took),
+        "cpu_by_worker": [round(share, 2) for share in cpu_shares], "lost": _total(reports, "lost"),
+        "doubled": sum(report["doubled"] for report in bed.reports["node"]),
     }  # fmt: skip
-    say(f"uneven: {cores} cores at {out['requests_per_s']}/s, CPU by worker {out['cpu_by_worker']}")
-    return out
+    echo(f"uneven: {cores} cores at {figures['requests_per_s']}/s, CPU by worker {figures['cpu_by_worker']}")
+    return figures
 
 
-def _median(runs: list[dict[str, Any]]) -> dict[str, Any]:
+def _median_run(runs: list[dict[str, Any]]) -> dict[str, Any]:
     """The round in the middle by throughput; what must not happen is added up over all of them."""
-    middle = sorted(runs, key=lambda r: r["requests_per_s"])[(len(runs) - 1) // 2]
-    sums = {key: sum(r[key] for r in runs) for key in ("lost", "doubled", "late")}
-    each = [(r["requests_per_s"], r["cpu_us_per_request"]) for r in runs]
-    worst = max(r["drift_percent"] for r in runs)
-    passed = any(r["ceiling_passed"] for r in runs)
-    return {**middle, **sums, "drift_percent": worst, "ceiling_passed": passed, "rounds": each}
+    median = sorted(runs, key=lambda run: run["requests_per_s"])[(len(runs) - 1) // 2]
+    sums = {key: sum(run[key] for run in runs) for key in ("lost", "doubled", "late")}
+    by_round = [(run["requests_per_s"], run["cpu_us_per_request"]) for run in runs]
+    worst_drift = max(run["drift_percent"] for run in runs)
+    ceiling_passed = any(run["ceiling_passed"] for run in runs)
+    return {
+        **median,
+        **sums,
+        "drift_percent": worst_drift,
+        "ceiling_passed": ceiling_passed,
+        "rounds": by_round,
+    }
 
 
-def bench(cores: Sequence[int], seconds: float, rounds: int, say: Callable[[str], None]) -> dict[str, Any]:
+def bench(cores: Sequence[int], seconds: float, rounds: int, echo: Callable[[str], None]) -> dict[str, Any]:
     """All of it; the JSON that `opalgauge bench cores` writes."""
-    here = os.cpu_count()
-    say(f"{here} cores on this machine, which also carry {CLIENTS} clients, 2 nodes and the counter")
-    by_count: dict[int, list[dict[str, Any]]] = {n: [] for n in cores}
+    machine_cores = os.cpu_count()
+    echo(
+        f"{machine_cores} cores on this machine, which also carry {CLIENT_PROCESSES} clients, "
+        "2 nodes and the counter"
+    )
+    runs_by_cores: dict[int, list[dict[str, Any]]] = {core_count: [] for core_count in cores}
     for _ in range(rounds):  # in turn: the machine's speed drifts
-        for n in cores:
-            by_count[n].append(measure(n, seconds, say))
-    runs = [_median(by_count[n]) for n in cores]
-    one = next((r for r in runs if r["cores"] == 1), None)
+        for core_count in cores:
+            runs_by_cores[core_count].append(measure_cores(core_count, seconds, echo))
+    runs = [_median_run(runs_by_cores[core_count]) for core_count in cores]
+    single_core = next((run for run in runs if run["cores"] == 1), None)
     for run in runs:
-        times = f", {run['requests_per_s'] / one['requests_per_s']:.2f} times one core" if one else ""
-        say(f"median: {run['cores']} cores {run['requests_per_s']}/s{times}")
-    several = [n for n in cores if n > 1]
-    out: dict[str, Any] = {
+        speedup = (
+            f", {run['requests_per_s'] / single_core['requests_per_s']:.2f} times one core"
+            if single_core
+            else ""
+        )
+        echo(f"median: {run['cores']} cores {run['requests_per_s']}/s{speedup}")
+    multi_core = [core_count for core_count in cores if core_count > 1]
+    figures: dict[str, Any] = {
         "machine_cores": os.cpu_count(),
         "seconds": seconds,
         "rounds": rounds,
         "runs": runs,
     }
-    if several:
-        chosen = min(several, key=lambda n: abs(n - 4))
-        rate = 0.4 * next(r["requests_per_s"] for r in runs if r["cores"] == chosen)
-        for how in ("stall", "kill"):
-            out[how] = harm(chosen, rate, how, say)
-        out["uneven"] = uneven(chosen, seconds, say)
-    return out
+    if multi_core:
+        chosen_cores = min(multi_core, key=lambda core_count: abs(core_count - 4))
+        rate = 0.4 * next(run["requests_per_s"] for run in runs if run["cores"] == chosen_cores)
+        for fault in ("stall", "kill"):
+            figures[fault] = measure_worker_fault(chosen_cores, rate, fault, echo)
+        figures["uneven"] = measure_uneven_load(chosen_cores, seconds, echo)
+    return figures
--- a/opalgauge/lab/bench_request.py
+++ b/opalgauge/lab/bench_request.py
@@ -20,7 +20,7 @@
 from aiohttp.http_parser import HttpRequestParser
 from aiohttp.http_writer import StreamWriter
 
-from opalgauge.lab.testbed import loads, results, testbed
+from opalgauge.lab.testbed import load_results, start_load_generators, testbed
 from opalgauge.memory import effects as fx
 from opalgauge.memory import events as ev
 from opalgauge.memory.reducer import Reducer
@@ -37,7 +37,7 @@
     b"X-Tier: negoce\r\nCookie: customer=00000000000003ef\r\nX-Time-Left: 2.0\r\n"
     b"X-Call-Terms: units=1,spread=1,first=0\r\nContent-Length: 64\r\n\r\n" + b"x" * 64
 )
-TRADE = Trade([("stock-check", True), ("place-order", False)], ["negoce"], 4.0, 1)
+REQUEST_RULES = Trade([("stock-check", True), ("place-order", False)], ["negoce"], 4.0, 1)
 SETTINGS = i.Settings(
     classes=(
         i.RequestClass(0.4, 1.2, 2.0),
@@ -50,12 +50,12 @@
     max_attempts=4,
     cancel=True,
 )
-NODES = tuple(ev.StockNode(f"127.0.0.1:{7000 + n}", i.ServerEntry(n, i.Health.READY)) for n in range(1, 5))
-TOTAL = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5"
-DONE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+SERVERS = tuple(ev.StockNode(f"127.0.0.1:{7000 + n}", i.ServerEntry(n, i.Health.READY)) for n in range(1, 5))
+COUNTER_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5"
+SERVER_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
 
-class Sink(asyncio.Transport):
+class NullTransport(asyncio.Transport):
     """A transport that takes all and sends nothing."""
 
     def write(self, data: Any) -> None:
@@ -74,46 +74,46 @@
         return default
 
 
-class Asker(BaseProtocol):
+class ClientProtocol(BaseProtocol):
     """As much of a client's connection as aiohttp's requests look at."""
 
     ssl_context = peername = sockname = None
 
 
-class Line(LineProtocol):
+class SocketlessConnection(LineProtocol):
     """A line whose kept connection is not looked at: it has no socket."""
 
     def _stale(self) -> bool:
         return False
 
 
-def _errand() -> ev.Errand:
+def _sample_request() -> ev.Errand:
     return ev.Errand("POST", "/place-order/1007/1", "9b1f03aa5c7e2d41", (), b"x" * 64)
 
 
 def _http_in(loop: asyncio.AbstractEventLoop) -> Callable[[int], None]:
-    protocol = Asker(loop)
+    protocol = ClientProtocol(loop)
 
-    def run(many: int) -> None:
-        for number in range(many):
+    def run(count: int) -> None:
+        for number in range(count):
             parser = HttpRequestParser(protocol, loop, 2**16, max_line_size=8190, max_field_size=8190)
             ((message, payload),) = parser.feed_data(REQUEST)[0]
             request = web.BaseRequest(
                 message, payload, cast(Any, protocol), cast(Any, None), cast(Any, None), loop,
             )  # fmt: skip
-            read_order(request, number, 1, payload.read_nowait(-1), TRADE)
+            read_order(request, number, 1, payload.read_nowait(-1), REQUEST_RULES)
 
     return run
 
 
 def _http_out(loop: asyncio.AbstractEventLoop) -> Callable[[int], None]:
-    protocol = Asker(loop)
-    protocol.transport = Sink()
+    protocol = ClientProtocol(loop)
+    protocol.transport = NullTransport()
     parser = HttpRequestParser(protocol, loop, 2**16, max_line_size=8190, max_field_size=8190)
     ((message, payload),) = parser.feed_data(REQUEST)[0]
 
-    async def answers(many: int) -> None:
-        for _ in range(many):
+    async def answers(count: int) -> None:
+        for _ in range(count):
             request = web.BaseRequest(
                 message, payload, cast(Any, protocol), StreamWriter(protocol, loop), cast(Any, None), loop
             )
@@ -122,149 +122,153 @@
             await response.prepare(request)
             await response.write_eof()
 
-    return lambda many: loop.run_until_complete(answers(many))
+    return lambda count: loop.run_until_complete(answers(count))
 
 
-def _lines(
+def _upstream_exchange(
     loop: asyncio.AbstractEventLoop,
     understand: Understand,
-    most: int,
-    out: Callable[[int], bytes],
-    back: bytes,
+    max_body: int,
+    encode: Callable[[int], bytes],
+    answer: bytes,
 ) -> Callable[[int], None]:
     """Wording a call, and reading its answer, over one kept connection."""
-    line = Line(1, loop, lambda _: None, understand, most)
-    line.connection_made(Sink())
+    connection = SocketlessConnection(1, loop, lambda _: None, understand, max_body)
+    connection.connection_made(NullTransport())
 
-    def run(many: int) -> None:
-        for number in range(many):
-            line.send(out(number))
-            line.data_received(back)
+    def run(count: int) -> None:
+        for number in range(count):
+            connection.send(encode(number))
+            connection.data_received(answer)
 
     return run
 
 
-class Desk:
+class ReducerDriver:
     """A reducer driven through whole requests: the counter and the nodes answer at once."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.now, self.number = START, 0
         self.reducer = Reducer(
             House(
-                SETTINGS, 5, "127.0.0.1:6400", "", 0, NODES, timedelta(milliseconds=100),
+                SETTINGS, 5, "127.0.0.1:6400", "", 0, SERVERS, timedelta(milliseconds=100),
                 timedelta(seconds=9), timedelta(milliseconds=80), 400, 400, 400, 133,
             )
         )  # fmt: skip
         self.reducer.start(self.now)
 
-    def run(self, many: int) -> None:
+    def run(self, count: int) -> None:
         step = self.reducer.step
-        for _ in range(many):
+        for _ in range(count):
             self.now += timedelta(microseconds=400)
             self.number += 1
-            n = self.number
-            if n == 1:
+            number = self.number
+            if number == 1:
                 step(ev.ClientCame(1), self.now)
-            order = ev.OrderTaken(
-                n, _errand(), 1, 0, 1007, timedelta(seconds=2), 1.0, 1, 0, False, 1,
+            taken = ev.OrderTaken(
+                number, _sample_request(), 1, 0, 1007, timedelta(seconds=2), 1.0, 1, 0, False, 1,
             )  # fmt: skip
-            todo = step(order, self.now)
-            while todo:
-                more: list[fx.Effect] = []
-                for effect in todo:
+            pending = step(taken, self.now)
+            while pending:
+                following: list[fx.Effect] = []
+                for effect in pending:
                     if isinstance(effect, fx.OpenLine):
-                        more += step(ev.LineUp(effect.line), self.now)
+                        following += step(ev.LineUp(effect.line), self.now)
                     elif isinstance(effect, fx.CallCounter):
                         answer = ev.CounterAnswered(effect.line, i.End.OK, max(1.0, effect.amount), True)
-                        more += step(answer, self.now)
+                        following += step(answer, self.now)
                     elif isinstance(effect, fx.SendAttempt):
-                        more += step(
+                        following += step(
                             ev.NodeAnswered(effect.line, i.End.OK, True, b"done", "text/plain"), self.now
                         )
-                todo = more
+                pending = following
 
 
-class Decider:
+class GatewayDriver:
     """The decisions alone, driven through whole requests."""
 
     def __init__(self) -> None:
         self.now, self.number, self.total = 1e6, 0, 0.0
         self.gateway = Gateway(SETTINGS, 5)
-        self.gateway.handle(self.now, [i.ServerList(i.ListKind.WHOLE, tuple(n.entry for n in NODES))])
+        self.gateway.handle(
+            self.now, [i.ServerList(i.ListKind.WHOLE, tuple(server.entry for server in SERVERS))]
+        )
 
-    def run(self, many: int) -> None:
+    def run(self, count: int) -> None:
         handle = self.gateway.handle
-        for _ in range(many):
+        for _ in range(count):
             self.now += 0.0004
             self.number += 1
-            news: list[i.Event] = [i.Request(self.number, 1, 0, 1007, 1.9, 1.0, 1)]
-            while news:
-                actions, news = handle(self.now, news), []
+            events_in: list[i.Event] = [i.Request(self.number, 1, 0, 1007, 1.9, 1.0, 1)]
+            while events_in:
+                actions, events_in = handle(self.now, events_in), []
                 for action in actions:
                     if isinstance(action, i.Count):
                         self.total += action.amount
-                        news.append(i.Counted(action.name, 0.001, i.End.OK, self.total))
+                        events_in.append(i.Counted(action.name, 0.001, i.End.OK, self.total))
                     elif isinstance(action, i.Send):
-                        news.append(i.Outcome(self.number, 0, action.server, i.End.OK, 0.005, True))
+                        events_in.append(i.Outcome(self.number, 0, action.server, i.End.OK, 0.005, True))
 
 
-def parts(rounds: int, many: int) -> dict[str, float]:
+def measure_parts(rounds: int, count: int) -> dict[str, float]:
     """CPU microseconds a request by part: the median of the rounds."""
     loop = asyncio.new_event_loop()
-    life = timedelta(seconds=30)
+    ttl = timedelta(seconds=30)
     two_seconds = timedelta(seconds=2)
-    runs: dict[str, Callable[[int], None]] = {
+    benchmarks: dict[str, Callable[[int], None]] = {
         "http_in": _http_in(loop),
         "http_out": _http_out(loop),
-        "counter": _lines(
+        "counter": _upstream_exchange(
             loop, quota_counter.understand_total, MOST_TOTAL,
-            lambda n: quota_counter.call_bytes(0x9E3779B97F4A7C15 ^ n, 1.0, life), TOTAL,
+            lambda n: quota_counter.call_bytes(0x9E3779B97F4A7C15 ^ n, 1.0, ttl), COUNTER_ANSWER,
         ),
-        "stock_node": _lines(
+        "stock_node": _upstream_exchange(
             loop, stock_nodes.understand_attempt, MOST_BODY,
-            lambda _: stock_nodes.attempt_bytes(_errand(), two_seconds), DONE,
+            lambda _: stock_nodes.attempt_bytes(_sample_request(), two_seconds), SERVER_ANSWER,
         ),
-        "reducer_and_decisions": Desk(loop).run,
-        "decisions": Decider().run,
+        "reducer_and_decisions": ReducerDriver(loop).run,
+        "decisions": GatewayDriver().run,
     }  # fmt: skip
-    times: dict[str, list[float]] = {name: [] for name in runs}
+    costs: dict[str, list[float]] = {name: [] for name in benchmarks}
     for _ in range(rounds):
-        for name, run in runs.items():
-            run(many // 10)
-            began = time.process_time()
-            run(many)
-            times[name].append((time.process_time() - began) / many * 1e6)
+        for name, run in benchmarks.items():
+            run(count // 10)
+            started = time.process_time()
+            run(count)
+            costs[name].append((time.process_time() - started) / count * 1e6)
     loop.close()
-    return {name: round(statistics.median(took), 1) for name, took in times.items()}
+    return {name: round(statistics.median(cpu_times), 1) for name, cpu_times in costs.items()}
 
 
-def whole(seconds: float) -> tuple[float, float]:
+def measure_whole(seconds: float) -> tuple[float, float]:
     """CPU microseconds a request and requests a second of one core in a closed loop, four stock nodes."""
     spec = {
         "seconds": 1.0, "connections": 32, "rate": 0, "seed": 1, "tag": "r",
         "accounts": [[1000 + n, "negoce", 1, 1.0] for n in range(200)],
     }  # fmt: skip
-    with testbed(1) as made:
-        spec["address"] = made.address
-        results(loads([spec]), 30)
-        before = made.cost()[0]
-        (told,) = results(loads([{**spec, "seconds": seconds, "tag": "s"}]), seconds + 30)
-        spent = made.cost()[0] - before
-        made.close()
-    answered = sum(told["status"].values())
-    return spent / answered * 1e6, answered / told["took"]
-
-
-def bench(rounds: int, seconds: float, say: Callable[[str], None]) -> dict[str, Any]:
+    with testbed(1) as bed:
+        spec["address"] = bed.address
+        load_results(start_load_generators([spec]), 30)
+        cpu_before = bed.resource_usage()[0]
+        (report,) = load_results(
+            start_load_generators([{**spec, "seconds": seconds, "tag": "s"}]), seconds + 30
+        )
+        cpu_seconds = bed.resource_usage()[0] - cpu_before
+        bed.close()
+    answered = sum(report["status"].values())
+    return cpu_seconds / answered * 1e6, answered / report["took"]
+
+
+def bench(rounds: int, seconds: float, echo: Callable[[str], None]) -> dict[str, Any]:
     """All of it; the JSON that `opalgauge bench request` writes."""
-    told = parts(rounds, 4000)
-    for name, took in told.items():
-        say(f"{name:>22} {took:>7.1f} us")
-    wholes = [whole(seconds) for _ in range(rounds)]
-    cpu = statistics.median(w[0] for w in wholes)
-    per_s = statistics.median(w[1] for w in wholes)
-    say(f"{'whole, on loopback':>22} {cpu:>7.1f} us of CPU, {per_s:.0f} requests a second")
+    part_costs = measure_parts(rounds, 4000)
+    for name, cost in part_costs.items():
+        echo(f"{name:>22} {cost:>7.1f} us")
+    whole_runs = [measure_whole(seconds) for _ in range(rounds)]
+    cpu = statistics.median(run[0] for run in whole_runs)
+    throughput = statistics.median(run[1] for run in whole_runs)
+    echo(f"{'whole, on loopback':>22} {cpu:>7.1f} us of CPU, {throughput:.0f} requests a second")
     return {
-        "parts_us": told, "cpu_us_per_request": round(cpu, 1), "requests_per_s": round(per_s),
-        "cpu_us_rounds": [round(w[0], 1) for w in wholes], "rounds": rounds,
+        "parts_us": part_costs, "cpu_us_per_request": round(cpu, 1), "requests_per_s": round(throughput),
+        "cpu_us_rounds": [round(run[0], 1) for run in whole_runs], "rounds": rounds,
     }  # fmt: skip
--- a/opalgauge/lab/fault_proxy.py
+++ b/opalgauge/lab/fault_proxy.py
@@ -24,9 +24,9 @@
 from fnmatch import fnmatchcase
 from typing import Any
 
-SPAN = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
-SHARE = re.compile(r"(\d+(?:\.\d+)?)%")
-CONNECTED = ("cut", "silence", "heal")
+DURATION = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
+PERCENTAGE = re.compile(r"(\d+(?:\.\d+)?)%")
+PATH_STATES = ("cut", "silence", "heal")
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
 
 
@@ -35,34 +35,34 @@
 
 
 @dataclass(slots=True)
-class Fault:
+class PathFaults:
     """What holds on a path. Times in seconds, shares from 0 to 1."""
 
     state: str = "heal"
     drop: float = 0.0
-    least: float = 0.0
-    most: float = 0.0
+    min_delay: float = 0.0
+    max_delay: float = 0.0
     reorder: float = 0.0
     repeat: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class ScheduleLine:
     at: float
-    paths: str
-    word: str
-    figures: tuple[float, ...]
+    path_pattern: str
+    keyword: str
+    values: tuple[float, ...]
 
 
-def _span(text: str) -> float:
-    match = SPAN.fullmatch(text)
+def _duration(text: str) -> float:
+    match = DURATION.fullmatch(text)
     if match is None:
         raise ScheduleError(f"{text!r} is no time such as 200ms or 3s")
     return float(match[1]) * (0.001 if match[2] == "ms" else 1.0)
 
 
-def _share(text: str) -> float:
-    match = SHARE.fullmatch(text)
+def _percentage(text: str) -> float:
+    match = PERCENTAGE.fullmatch(text)
     if match is None or float(match[1]) > 100:
         raise ScheduleError(f"{text!r} is no share such as 7.2%")
     return float(match[1]) / 100
@@ -72,150 +72,156 @@
     """What holds on which path at which time; no I/O."""
 
     def __init__(self, text: str) -> None:
-        self.lines: list[Line] = []
+        self.lines: list[ScheduleLine] = []
         for number, row in enumerate(text.splitlines(), 1):
             words = row.split("#")[0].split()
             if not words:
                 continue
             try:
-                self.lines.append(self._line(words))
+                self.lines.append(self._parse_line(words))
             except ValueError as bad:
                 raise ScheduleError(f"line {number}: {row.strip()!r}: {bad}") from None
         self.lines.sort(key=lambda line: line.at)
 
     @staticmethod
-    def _line(words: list[str]) -> Line:
+    def _parse_line(words: list[str]) -> ScheduleLine:
         if len(words) < 3:
             raise ScheduleError("a line is WHEN PATHS FAULT")
-        at, paths, word, *rest = words
-        if word in CONNECTED and not rest:
-            return Line(_span(at), paths, word, ())
-        if word == "delay" and len(rest) == 2 and _span(rest[0]) <= _span(rest[1]):
-            return Line(_span(at), paths, word, (_span(rest[0]), _span(rest[1])))
-        if word in ("drop", "reorder", "repeat") and len(rest) == 1:
-            return Line(_span(at), paths, word, (_share(rest[0]),))
+        start, path_pattern, keyword, *arguments = words
+        if keyword in PATH_STATES and not arguments:
+            return ScheduleLine(_duration(start), path_pattern, keyword, ())
+        if keyword == "delay" and len(arguments) == 2 and _duration(arguments[0]) <= _duration(arguments[1]):
+            return ScheduleLine(
+                _duration(start), path_pattern, keyword, (_duration(arguments[0]), _duration(arguments[1]))
+            )
+        if keyword in ("drop", "reorder", "repeat") and len(arguments) == 1:
+            return ScheduleLine(_duration(start), path_pattern, keyword, (_percentage(arguments[0]),))
         raise ScheduleError(
             "known are cut, silence, heal, drop SHARE, delay LEAST MOST, reorder SHARE, repeat SHARE"
         )
 
-    def at(self, path: str, when: float) -> Fault:
-        fault = Fault()
+    def faults_at(self, path: str, elapsed: float) -> PathFaults:
+        faults = PathFaults()
         for line in self.lines:
-            if line.at > when or not fnmatchcase(path, line.paths):
+            if line.at > elapsed or not fnmatchcase(path, line.path_pattern):
                 continue
-            if line.word in CONNECTED:
-                fault = replace(fault, state=line.word)
-            elif line.word == "delay":
-                fault = replace(fault, least=line.figures[0], most=line.figures[1])
+            if line.keyword in PATH_STATES:
+                faults = replace(faults, state=line.keyword)
+            elif line.keyword == "delay":
+                faults = replace(faults, min_delay=line.values[0], max_delay=line.values[1])
             else:
-                setattr(fault, line.word, line.figures[0])
-        return fault
+                setattr(faults, line.keyword, line.values[0])
+        return faults
 
-    def changes(self, path: str) -> list[float]:
-        return [line.at for line in self.lines if fnmatchcase(path, line.paths)]
+    def change_times(self, path: str) -> list[float]:
+        return [line.at for line in self.lines if fnmatchcase(path, line.path_pattern)]
 
 
-class Proxy:
+class FaultProxy:
     """Every path of a scene. Times of the schedule count from `begin`; before it nothing is wrong."""
 
     def __init__(self, schedule: Schedule, seed: int) -> None:
         self.schedule, self.seed = schedule, seed
         self.loop = asyncio.get_running_loop()
-        self.began: float | None = None
-        self.streams: list[StreamPath] = []
-        self.datagrams: list[DatagramPath] = []
+        self.started_at: float | None = None
+        self.stream_paths: list[StreamPath] = []
+        self.datagram_paths: list[DatagramPath] = []
         self.timers: list[asyncio.TimerHandle] = []
 
-    def fault(self, path: str) -> Fault:
-        return Fault() if self.began is None else self.schedule.at(path, self.loop.time() - self.began)
+    def current_faults(self, path: str) -> PathFaults:
+        return (
+            PathFaults()
+            if self.started_at is None
+            else self.schedule.faults_at(path, self.loop.time() - self.started_at)
+        )
 
-    def begin(self) -> None:
-        self.began = self.loop.time()
-        for path in self.streams:
-            for when in self.schedule.changes(path.name):
-                self.timers.append(self.loop.call_later(when, path.follow))
+    def start_schedule(self) -> None:
+        self.started_at = self.loop.time()
+        for path in self.stream_paths:
+            for delay in self.schedule.change_times(path.name):
+                self.timers.append(self.loop.call_later(delay, path.apply_schedule))
 
-    async def stream(self, name: str, target: str) -> str:
+    async def add_stream_path(self, name: str, target: str) -> str:
         """A path for connections; gives the address to use in place of `target`."""
         path = StreamPath(self, name, target)
-        self.streams.append(path)
+        self.stream_paths.append(path)
         return path.address
 
-    async def datagram(self, name: str, target: str) -> str:
+    async def add_datagram_path(self, name: str, target: str) -> str:
         path = DatagramPath(self, name, target)
         await self.loop.create_datagram_endpoint(lambda: path, local_addr=("127.0.0.1", 0))
-        self.datagrams.append(path)
+        self.datagram_paths.append(path)
         return path.address
 
     async def close(self) -> None:
         for timer in self.timers:
             timer.cancel()
-        for path in self.streams:
+        for path in self.stream_paths:
             path.close()
-        for one in self.datagrams:
-            one.transport.close()
+        for datagram_path in self.datagram_paths:
+            datagram_path.transport.close()
 
 
 class StreamPath:
     """Connections to one target. A listening socket of its own, so that it can stop answering as a machine
     that has vanished does: its queue is filled, and the kernel drops what asks to connect."""
 
-    def __init__(self, proxy: Proxy, name: str, target: str) -> None:
+    def __init__(self, proxy: FaultProxy, name: str, target: str) -> None:
         self.proxy, self.name = proxy, name
-        self.chance = random.Random(f"{proxy.seed} {name}")
+        self.rng = random.Random(f"{proxy.seed} {name}")
         host, _, port = target.rpartition(":")
         self.target = host, int(port)
-        self.sock = self._listen(("127.0.0.1", 0))
-        self.bound = self.sock.getsockname()
-        self.address = f"127.0.0.1:{self.bound[1]}"
+        self.listener = self._listen(("127.0.0.1", 0))
+        self.listen_address = self.listener.getsockname()
+        self.address = f"127.0.0.1:{self.listen_address[1]}"
         self.state = "heal"
-        self.open: set[Any] = set()
-        self.fillers: list[socket.socket] = []
-        self.accepting: asyncio.Task[None] | None = proxy.loop.create_task(self._accept())
+        self.writers: set[Any] = set()
+        self.backlog_fillers: list[socket.socket] = []
+        self.accept_task: asyncio.Task[None] | None = proxy.loop.create_task(self._accept())
         self.tasks: set[asyncio.Task[None]] = set()
 
     @staticmethod
-    def _listen(bound: tuple[str, int]) -> socket.socket:
+    def _listen(listen_address: tuple[str, int]) -> socket.socket:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(bound)
+        sock.bind(listen_address)
         sock.listen(128)
         sock.setblocking(False)
         return sock
 
-    def follow(self) -> None:
+    def apply_schedule(self) -> None:
         """Does what the schedule says by now."""
-        state = self.proxy.fault(self.name).state
+        state = self.proxy.current_faults(self.name).state
         if state == self.state:
             return
-        before, self.state = self.state, state
+        previous, self.state = self.state, state
         if state == "heal":
-            for one in self.fillers:
-                one.close()
-            self.fillers.clear()
-            if before == "silence":
-                self._reset()  # the machine that is back knows nothing of them
-                self.sock.close()
-            self.sock = self._listen(self.bound)
-            self.accepting = self.proxy.loop.create_task(self._accept())
+            for filler in self.backlog_fillers:
+                filler.close()
+            self.backlog_fillers.clear()
+            if previous == "silence":
+                self._reset_connections()  # the machine that is back knows nothing of them
+                self.listener.close()
+            self.listener = self._listen(self.listen_address)
+            self.accept_task = self.proxy.loop.create_task(self._accept())
             return
-        if self.accepting is not None:
-            self.accepting.cancel()
-            self.accepting = None
+        if self.accept_task is not None:
+            self.accept_task.cancel()
+            self.accept_task = None
         if state == "cut":
-            self._reset()
-            self.sock.close()
+            self._reset_connections()
+            self.listener.close()
         else:
-            self.sock.listen(0)
+            self.listener.listen(0)
             for _ in range(3):
                 filler = socket.socket()
                 filler.setblocking(False)
                 with contextlib.suppress(OSError):
-                    filler.connect(self.bound)
-                self.fillers.append(filler)
+                    filler.connect(self.listen_address)
+                self.backlog_fillers.append(filler)
 
-    def _reset(self) -> None:
-        for writer in list(self.open):
+    def _reset_connections(self) -> None:
+        for writer in list(self.writers):
             self._abort(writer)
 
     @staticmethod
@@ -229,7 +235,7 @@
     async def _accept(self) -> None:
         while True:
             try:
-                sock, _ = await self.proxy.loop.sock_accept(self.sock)
+                sock, _ = await self.proxy.loop.sock_accept(self.listener)
             except OSError:
                 return
             task = self.proxy.loop.create_task(self._serve(sock))
@@ -237,35 +243,37 @@
             task.add_done_callback(self.tasks.discard)
 
     async def _serve(self, sock: socket.socket) -> None:
-        near = far = None
+        client_writer = target_writer = None
         try:
-            reader, near = await asyncio.open_connection(sock=sock)
-            self.open.add(near)
-            far_reader, far = await asyncio.open_connection(*self.target)
-            self.open.add(far)
+            client_reader, client_writer = await asyncio.open_connection(sock=sock)
+            self.writers.add(client_writer)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            self.writers.add(target_writer)
             await asyncio.wait(
                 [
-                    asyncio.ensure_future(self._pass(reader, far)),
-                    asyncio.ensure_future(self._pass(far_reader, near)),
+                    asyncio.ensure_future(self._forward(client_reader, target_writer)),
+                    asyncio.ensure_future(self._forward(target_reader, client_writer)),
                 ],
                 return_when=asyncio.FIRST_COMPLETED,
             )
         except OSError:
             pass
         finally:
-            for writer in (near, far):
+            for writer in (client_writer, target_writer):
                 if writer is not None:
-                    self.open.discard(writer)
+                    self.writers.discard(writer)
                     if self.state == "silence":
                         continue  # it says nothing, not even that it has ended
                     (self._abort if self.state == "cut" else asyncio.StreamWriter.close)(writer)
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(65536):
-                fault = self.proxy.fault(self.name)
-                if fault.most:
-                    await asyncio.sleep(fault.least + (fault.most - fault.least) * self.chance.random())
+                faults = self.proxy.current_faults(self.name)
+                if faults.max_delay:
+                    await asyncio.sleep(
+                        faults.min_delay + (faults.max_delay - faults.min_delay) * self.rng.random()
+                    )
                 while self.state == "silence":
                     await asyncio.sleep(0.02)
                 if writer.is_closing():
@@ -273,24 +281,24 @@
                 writer.write(data)
 
     def close(self) -> None:
-        if self.accepting is not None:
-            self.accepting.cancel()
+        if self.accept_task is not None:
+            self.accept_task.cancel()
         for task in self.tasks:
             task.cancel()
-        self._reset()
-        self.sock.close()
-        for one in self.fillers:
-            one.close()
+        self._reset_connections()
+        self.listener.close()
+        for filler in self.backlog_fillers:
+            filler.close()
 
 
 class DatagramPath(asyncio.DatagramProtocol):
     """Datagrams to one target, one way."""
 
-    def __init__(self, proxy: Proxy, name: str, target: str) -> None:
+    def __init__(self, proxy: FaultProxy, name: str, target: str) -> None:
         self.proxy, self.name = proxy, name
         host, _, port = target.rpartition(":")
         self.target = host, int(port)
-        self.chance = random.Random(f"{proxy.seed} {name}")
+        self.rng = random.Random(f"{proxy.seed} {name}")
         self.transport: Any = None
         self.address = ""
 
@@ -299,16 +307,16 @@
         self.address = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        fault = self.proxy.fault(self.name)
-        draws = [self.chance.random() for _ in range(4)]  # as many for each, whatever holds
-        if fault.state != "heal" or draws[0] < fault.drop:
+        faults = self.proxy.current_faults(self.name)
+        draws = [self.rng.random() for _ in range(4)]  # as many for each, whatever holds
+        if faults.state != "heal" or draws[0] < faults.drop:
             return
-        wait = fault.least + (fault.most - fault.least) * draws[1]
-        if draws[2] < fault.reorder:
-            wait += fault.most
-        self.proxy.loop.call_later(wait, self._forward, data)
-        if draws[3] < fault.repeat:
-            self.proxy.loop.call_later(2 * wait, self._forward, data)
+        delay = faults.min_delay + (faults.max_delay - faults.min_delay) * draws[1]
+        if draws[2] < faults.reorder:
+            delay += faults.max_delay
+        self.proxy.loop.call_later(delay, self._forward, data)
+        if draws[3] < faults.repeat:
+            self.proxy.loop.call_later(2 * delay, self._forward, data)
 
     def _forward(self, data: bytes) -> None:
         if not self.transport.is_closing():
--- a/opalgauge/lab/lease_simulation.py
+++ b/opalgauge/lab/lease_simulation.py
@@ -10,7 +10,15 @@
 from datetime import timedelta
 from typing import Any
 
-from opalgauge.lab.quotas import TARIFFS, Load, Share, Tariff, Verdict, by_tariff, replay
+from opalgauge.lab.quotas import (
+    PLANS,
+    AccountLoad,
+    AccountPlan,
+    PlanDeviation,
+    QuotaDecision,
+    deviation_by_plan,
+    replay,
+)
 from opalgauge.lab.simulation import EPOCH, Simulation
 from opalgauge.leases import messages
 from opalgauge.leases.actions import CallCounter, SendMessage, TellTotal
@@ -18,220 +26,273 @@
 from starlinggap import Gateway
 from starlinggap import interface as i
 
-ROUND, TIMEOUT, SERVES = 0.02, 0.05, 0.05
-WAY = (0.0004, 0.0008)  # s one way to the counter
+TICK_INTERVAL, COUNTER_TIMEOUT, SERVICE_TIME = 0.02, 0.05, 0.05
+COUNTER_DELAY = (0.0004, 0.0008)  # s one way to the counter
 
 
 @dataclass(slots=True)
-class Scene:
+class Scenario:
     """`way`: today, even, ahead or on. The counter is gone in `cut` for the ingresses in `without` (all,
     where empty); `groups`: by ingress, who hears whom in `split`."""
 
-    way: str = "on"
+    mode: str = "on"
     ingresses: int = 6
-    tariffs: tuple[Tariff, ...] = TARIFFS
+    plans: tuple[AccountPlan, ...] = PLANS
     seconds: float = 34.0
     seed: int = 1
-    cut: tuple[float, float] = (8.0, 28.0)
-    without: tuple[int, ...] = ()
-    slow: float = 1.0  # the counter is so many times slower in `cut`, and not gone
+    outage: tuple[float, float] = (8.0, 28.0)
+    affected: tuple[int, ...] = ()
+    slowdown: float = 1.0  # the counter is so many times slower in `cut`, and not gone
     groups: tuple[int, ...] = ()
-    split: tuple[float, float] = (0.0, 0.0)
+    partition: tuple[float, float] = (0.0, 0.0)
     drop: float = 0.072
     delay: tuple[float, float] = (0.002, 0.017)
     counter_ms: float = 1.6
     restarts: tuple[tuple[float, int], ...] = ()
-    shift: float = 6.0
+    shift_interval: float = 6.0
 
 
 @dataclass(slots=True)
-class Seen:
-    asked: int = 0
-    calls: int = 0
-    most_words: int = 0  # that reached one ingress in one second
-    longest_word: int = 0
+class Result:
+    requests: int = 0
+    counter_calls: int = 0
+    max_received_per_second: int = 0  # that reached one ingress in one second
+    max_message_size: int = 0
     unanswered: int = 0
-    verdicts: list[Verdict] = field(default_factory=list)
-    cut: dict[str, Share] = field(default_factory=dict)  # by tariff, while the counter was cut
-    rest: dict[str, Share] = field(default_factory=dict)  # and in the rest of the scene
+    decisions: list[QuotaDecision] = field(default_factory=list)
+    # By tariff, while the counter was cut.
+    during_outage: dict[str, PlanDeviation] = field(default_factory=dict)
+    outside_outage: dict[str, PlanDeviation] = field(default_factory=dict)  # and in the rest of the scene
 
 
-class World(Simulation):
+class LeaseSimulation(Simulation):
     """A scene."""
 
-    def __init__(self, scene: Scene) -> None:
-        super().__init__(scene.seed)
-        self.s, self.seen = scene, Seen()
-        self.load = Load(scene.tariffs, scene.ingresses, scene.seed, scene.shift)
-        self.plans = tuple(i.Plan(rate=t.rate, burst=t.burst) for t in scene.tariffs)
-        self.free_at = 0.0
+    def __init__(self, scenario: Scenario) -> None:
+        super().__init__(scenario.seed)
+        self.scenario, self.result = scenario, Result()
+        self.load = AccountLoad(scenario.plans, scenario.ingresses, scenario.seed, scenario.shift_interval)
+        self.gateway_plans = tuple(i.Plan(rate=plan.rate, burst=plan.burst) for plan in scenario.plans)
+        self.counter_free_at = 0.0
         self.totals: dict[int, list[float]] = {}
-        self.life = [0] * scene.ingresses
-        self.heard: dict[tuple[int, int], int] = {}
-        self.asked: dict[int, Verdict] = {}
-        self.gates = [self._gate(me) for me in range(scene.ingresses)]
-        self.leases = [self._leases(me) for me in range(scene.ingresses)]
-        for me in range(scene.ingresses):
-            self._at(ROUND * self.rng.random(), self._tick, me, 0)
-        for number, request in enumerate(self.load.requests(scene.seconds)):
-            self._at(request[0], self._arrive, number + 1, *request[1:])
-        for when, me in scene.restarts:
-            self._at(when, self._restart, me)
-
-    def _gate(self, me: int) -> Gateway:
+        self.generations = [0] * scenario.ingresses
+        self.received: dict[tuple[int, int], int] = {}
+        self.pending_decisions: dict[int, QuotaDecision] = {}
+        self.gateways = [self._make_gateway(ingress) for ingress in range(scenario.ingresses)]
+        self.leases = [self._make_leases(ingress) for ingress in range(scenario.ingresses)]
+        for ingress in range(scenario.ingresses):
+            self._schedule(TICK_INTERVAL * self.rng.random(), self._tick, ingress, 0)
+        for number, request in enumerate(self.load.requests(scenario.seconds)):
+            self._schedule(request[0], self._arrive, number + 1, *request[1:])
+        for when, ingress in scenario.restarts:
+            self._schedule(when, self._restart, ingress)
+
+    def _make_gateway(self, ingress: int) -> Gateway:
         settings = i.Settings(
-            classes=(i.RequestClass(1.2, 5.0),), plans=self.plans, gateways=self.s.ingresses, me=me,
-            counter=True, counter_timeout=TIMEOUT, most_units=2.0,
+            classes=(i.RequestClass(1.2, 5.0),), plans=self.gateway_plans,
+            gateways=self.scenario.ingresses, me=ingress, counter=True, counter_timeout=COUNTER_TIMEOUT,
+            most_units=2.0,
         )  # fmt: skip
-        gate = Gateway(settings, self.s.seed * 1000 + me + 77 * self.life[me])
-        nodes = tuple(i.ServerEntry(n, i.Health.READY) for n in range(1, 40))
-        gate.handle(EPOCH.timestamp() + self.now, [i.ServerList(i.ListKind.WHOLE, nodes)])
-        return gate
+        gateway = Gateway(settings, self.scenario.seed * 1000 + ingress + 77 * self.generations[ingress])
+        servers = tuple(i.ServerEntry(server, i.Health.READY) for server in range(1, 40))
+        gateway.handle(EPOCH.timestamp() + self.now, [i.ServerList(i.ListKind.WHOLE, servers)])
+        return gateway
 
-    def _leases(self, me: int) -> Leases | None:
-        if self.s.way == "today":
+    def _make_leases(self, ingress: int) -> Leases | None:
+        if self.scenario.mode == "today":
             return None
-        plans = tuple((p.rate, p.burst) for p in self.plans)
-        rules = Rules(me, self.s.ingresses, plans, self.s.way != "even", self.s.way == "on")
-        return Leases(rules, self._when(), int(self.now * 1000), self.s.seed + me)
+        plans = tuple((plan.rate, plan.burst) for plan in self.gateway_plans)
+        rules = Rules(
+            ingress, self.scenario.ingresses, plans, self.scenario.mode != "even", self.scenario.mode == "on"
+        )
+        return Leases(rules, self._wall_clock(), int(self.now * 1000), self.scenario.seed + ingress)
 
-    def play(self) -> Seen:
-        while self._next(self.s.seconds + 6):
+    def run(self) -> Result:
+        while self._run_next(self.scenario.seconds + 6):
             pass
-        seen, (begun, ended) = self.seen, self.s.cut
-        seen.unanswered = len(self.asked)
-        tariffs = self.load.tariffs
-        seen.cut = by_tariff(replay(seen.verdicts, tariffs, (begun, ended)), tariffs, ended - begun)
-        before = by_tariff(replay(seen.verdicts, tariffs, (0.0, begun)), tariffs, begun)
-        after = by_tariff(
-            replay(seen.verdicts, tariffs, (ended, self.s.seconds)), tariffs, self.s.seconds - ended
+        result, (start, end) = self.result, self.scenario.outage
+        result.unanswered = len(self.pending_decisions)
+        plans = self.load.plan_by_account
+        result.during_outage = deviation_by_plan(
+            replay(result.decisions, plans, (start, end)), plans, end - start
         )
-        seen.rest = {
-            name: Share(max(b.overshoot, after[name].overshoot), 0.0, max(b.wrong, after[name].wrong))
-            for name, b in before.items()
+        before = deviation_by_plan(replay(result.decisions, plans, (0.0, start)), plans, start)
+        after = deviation_by_plan(
+            replay(result.decisions, plans, (end, self.scenario.seconds)), plans, self.scenario.seconds - end
+        )
+        result.outside_outage = {
+            name: PlanDeviation(
+                max(deviation.overshoot, after[name].overshoot),
+                0.0,
+                max(deviation.wrongly_refused, after[name].wrongly_refused),
+            )
+            for name, deviation in before.items()
         }
-        return seen
+        return result
 
     # --- requests ------------------------------------------------------------------------------------------
-    def _arrive(self, number: int, place: int, units: int, me: int) -> None:
-        customer = self.load.customers[place]
-        tariff = self.s.tariffs.index(customer.tariff)
-        self.seen.asked += 1
-        self.asked[number] = Verdict(self.now, customer.number, units, False)
-        spread = min(customer.tariff.spread, self.s.ingresses)
-        if (leases := self.leases[me]) is not None:
-            leases.met(customer.number, tariff, spread, customer.first, self._when())
-        request = i.Request(number, 0, tariff, customer.number, 5.0, float(units), spread, customer.first)
-        self._give(me, request)
-
-    def _give(self, me: int, *events: i.Event) -> None:
-        for a in self.gates[me].handle(EPOCH.timestamp() + self.now, list(events)):
-            if isinstance(a, i.Send):
-                if verdict := self.asked.pop(a.request, None):
-                    verdict.when, verdict.sent = self.now, True
-                    self.seen.verdicts.append(verdict)
-                self._at(self.now + SERVES, self._served, me, self.life[me], a)
-            elif isinstance(a, i.Refuse | i.Fail):
-                if verdict := self.asked.pop(a.request, None):
-                    verdict.when = self.now
-                    self.seen.verdicts.append(verdict)
-            elif isinstance(a, i.Timer):
-                self._at(a.at - EPOCH.timestamp(), self._timer, me, self.life[me], a.token)
-            elif isinstance(a, i.Count):
-                if (leases := self.leases[me]) is not None:
-                    leases.asked(a.name, a.amount, timedelta(seconds=a.ttl), self._when())
+    def _arrive(self, number: int, account_index: int, units: int, ingress: int) -> None:
+        account = self.load.accounts[account_index]
+        plan_index = self.scenario.plans.index(account.plan)
+        self.result.requests += 1
+        self.pending_decisions[number] = QuotaDecision(self.now, account.number, units, False)
+        spread = min(account.plan.spread, self.scenario.ingresses)
+        if (leases := self.leases[ingress]) is not None:
+            leases.met(account.number, plan_index, spread, account.first_ingress, self._wall_clock())
+        request = i.Request(
+            number, 0, plan_index, account.number, 5.0, float(units), spread, account.first_ingress
+        )
+        self._handle_events(ingress, request)
+
+    def _handle_events(self, ingress: int, *events: i.Event) -> None:
+        for action in self.gateways[ingress].handle(EPOCH.timestamp() + self.now, list(events)):
+            if isinstance(action, i.Send):
+                if decision := self.pending_decisions.pop(action.request, None):
+                    decision.time, decision.sent = self.now, True
+                    self.result.decisions.append(decision)
+                self._schedule(
+                    self.now + SERVICE_TIME, self._on_served, ingress, self.generations[ingress], action
+                )
+            elif isinstance(action, i.Refuse | i.Fail):
+                if decision := self.pending_decisions.pop(action.request, None):
+                    decision.time = self.now
+                    self.result.decisions.append(decision)
+            elif isinstance(action, i.Timer):
+                self._schedule(
+                    action.at - EPOCH.timestamp(),
+                    self._on_timer,
+                    ingress,
+                    self.generations[ingress],
+                    action.token,
+                )
+            elif isinstance(action, i.Count):
+                if (leases := self.leases[ingress]) is not None:
+                    leases.asked(
+                        action.name, action.amount, timedelta(seconds=action.ttl), self._wall_clock()
+                    )
                 else:
-                    self._call(me, 0, a.name, a.amount, a.ttl)
-        self._act(me)
+                    self._call_counter(ingress, 0, action.name, action.amount, action.ttl)
+        self._run_lease_actions(ingress)
 
-    def _served(self, me: int, life: int, a: i.Send) -> None:
-        if life == self.life[me]:
-            self._give(me, i.Outcome(a.request, 0, a.server, i.End.OK, SERVES, True))
+    def _on_served(self, ingress: int, generation: int, action: i.Send) -> None:
+        if generation == self.generations[ingress]:
+            self._handle_events(
+                ingress, i.Outcome(action.request, 0, action.server, i.End.OK, SERVICE_TIME, True)
+            )
 
-    def _timer(self, me: int, life: int, token: int) -> None:
-        if life == self.life[me]:
-            self._give(me, i.TimerFired(token))
+    def _on_timer(self, ingress: int, generation: int, token: int) -> None:
+        if generation == self.generations[ingress]:
+            self._handle_events(ingress, i.TimerFired(token))
 
-    def _restart(self, me: int) -> None:
-        self.life[me] += 1
-        self.gates[me], self.leases[me] = self._gate(me), self._leases(me)
-        self._at(self.now + ROUND, self._tick, me, self.life[me])
+    def _restart(self, ingress: int) -> None:
+        self.generations[ingress] += 1
+        self.gateways[ingress], self.leases[ingress] = self._make_gateway(ingress), self._make_leases(ingress)
+        self._schedule(self.now + TICK_INTERVAL, self._tick, ingress, self.generations[ingress])
 
     # --- leases and messages ------------------------------------------------------------------------------
-    def _tick(self, me: int, life: int) -> None:
-        leases = self.leases[me]
-        if leases is None or life != self.life[me] or self.now > self.s.seconds + 3:
+    def _tick(self, ingress: int, generation: int) -> None:
+        leases = self.leases[ingress]
+        if leases is None or generation != self.generations[ingress] or self.now > self.scenario.seconds + 3:
             return
-        self._at(self.now + ROUND, self._tick, me, life)
-        leases.tick(self._when())
-        self._act(me)
+        self._schedule(self.now + TICK_INTERVAL, self._tick, ingress, generation)
+        leases.tick(self._wall_clock())
+        self._run_lease_actions(ingress)
 
-    def _act(self, me: int) -> None:
-        leases = self.leases[me]
+    def _run_lease_actions(self, ingress: int) -> None:
+        leases = self.leases[ingress]
         for action in leases.take() if leases is not None else ():
             if isinstance(action, TellTotal):  # in the order of the asks, as events are taken
                 counted = i.Counted(action.name, action.took.total_seconds(), action.end, action.total)
-                self._at(self.now, self._told, me, self.life[me], counted)
+                self._schedule(self.now, self._deliver_total, ingress, self.generations[ingress], counted)
             elif isinstance(action, CallCounter):
-                self._call(me, action.token, action.name, action.amount, action.life.total_seconds())
+                self._call_counter(
+                    ingress, action.token, action.name, action.amount, action.life.total_seconds()
+                )
             elif isinstance(action, SendMessage):
-                self._say(me, action)
+                self._send_message(ingress, action)
 
-    def _told(self, me: int, life: int, counted: i.Counted) -> None:
-        if life == self.life[me]:
-            self._give(me, counted)
+    def _deliver_total(self, ingress: int, generation: int, counted: i.Counted) -> None:
+        if generation == self.generations[ingress]:
+            self._handle_events(ingress, counted)
 
-    def _say(self, me: int, action: SendMessage) -> None:
+    def _send_message(self, ingress: int, action: SendMessage) -> None:
         data = messages.write(action.message)
-        self.seen.longest_word = max(self.seen.longest_word, len(data))
-        apart = self.s.groups and self.s.groups[me] != self.s.groups[action.peer]
-        if apart and self.s.split[0] <= self.now < self.s.split[1] or self.rng.random() < self.s.drop:
+        self.result.max_message_size = max(self.result.max_message_size, len(data))
+        apart = self.scenario.groups and self.scenario.groups[ingress] != self.scenario.groups[action.peer]
+        if (
+            apart
+            and self.scenario.partition[0] <= self.now < self.scenario.partition[1]
+            or self.rng.random() < self.scenario.drop
+        ):
             return
-        self._at(self.now + self.rng.uniform(*self.s.delay), self._word, action.peer, data)
+        self._schedule(self.now + self.rng.uniform(*self.scenario.delay), self._receive, action.peer, data)
 
-    def _word(self, me: int, data: bytes) -> None:
-        key = me, int(self.now)
-        self.heard[key] = self.heard.get(key, 0) + 1
-        self.seen.most_words = max(self.seen.most_words, self.heard[key])
-        message, leases = messages.read(data), self.leases[me]
+    def _receive(self, ingress: int, data: bytes) -> None:
+        key = ingress, int(self.now)
+        self.received[key] = self.received.get(key, 0) + 1
+        self.result.max_received_per_second = max(self.result.max_received_per_second, self.received[key])
+        message, leases = messages.read(data), self.leases[ingress]
         assert message is not None and leases is not None
-        leases.heard(message, self._when())
-        self._act(me)
+        leases.heard(message, self._wall_clock())
+        self._run_lease_actions(ingress)
 
     # --- the counter ---------------------------------------------------------------------------------------
-    def _call(self, me: int, token: int, name: int, amount: float, life: float) -> None:
-        self.seen.calls += 1
-        in_cut = self.s.cut[0] <= self.now < self.s.cut[1]
-        about = me, self.life[me], token, name, self.now
-        if in_cut and self.s.slow == 1.0 and (not self.s.without or me in self.s.without):
-            self._at(self.now + TIMEOUT, self._counted, *about, i.End.TIMEOUT, 0.0, 1)
+    def _call_counter(self, ingress: int, token: int, name: int, amount: float, ttl: float) -> None:
+        self.result.counter_calls += 1
+        in_outage = self.scenario.outage[0] <= self.now < self.scenario.outage[1]
+        call = ingress, self.generations[ingress], token, name, self.now
+        if (
+            in_outage
+            and self.scenario.slowdown == 1.0
+            and (not self.scenario.affected or ingress in self.scenario.affected)
+        ):
+            self._schedule(self.now + COUNTER_TIMEOUT, self._on_counter_answer, *call, i.End.TIMEOUT, 0.0, 1)
             return
-        way = self.rng.uniform(*WAY)
-        work = self.s.counter_ms / 1000 * (self.s.slow if in_cut else 1.0)
-        begin = max(self.now + way, self.free_at)
-        if begin - self.now > 2 * TIMEOUT:
-            self._at(self.now + 2 * way, self._counted, *about, i.End.FULL, 0.0, 1)
+        delay = self.rng.uniform(*COUNTER_DELAY)
+        service_time = self.scenario.counter_ms / 1000 * (self.scenario.slowdown if in_outage else 1.0)
+        start = max(self.now + delay, self.counter_free_at)
+        if start - self.now > 2 * COUNTER_TIMEOUT:
+            self._schedule(self.now + 2 * delay, self._on_counter_answer, *call, i.End.FULL, 0.0, 1)
             return
-        self.free_at = begin + work
-        self._at(begin + work, self._add, name, amount, life, about, begin + work + way)
-
-    def _add(self, name: int, amount: float, life: float, about: tuple[Any, ...], answered: float) -> None:
-        kept = self.totals.get(name)
-        if kept is None or self.now >= kept[1]:
-            kept = self.totals[name] = [0.0, self.now + life]
-        kept[0] += amount
-        if answered - about[4] > TIMEOUT:
-            self._at(max(self.now, about[4] + TIMEOUT), self._counted, *about, i.End.TIMEOUT, 0.0, 1)
+        self.counter_free_at = start + service_time
+        self._schedule(
+            start + service_time, self._add_to_total, name, amount, ttl, call, start + service_time + delay
+        )
+
+    def _add_to_total(
+        self, name: int, amount: float, ttl: float, call: tuple[Any, ...], answered_at: float
+    ) -> None:
+        entry = self.totals.get(name)
+        if entry is None or self.now >= entry[1]:
+            entry = self.totals[name] = [0.0, self.now + ttl]
+        entry[0] += amount
+        if answered_at - call[4] > COUNTER_TIMEOUT:
+            self._schedule(
+                max(self.now, call[4] + COUNTER_TIMEOUT),
+                self._on_counter_answer,
+                *call,
+                i.End.TIMEOUT,
+                0.0,
+                1,
+            )
         else:
-            self._at(answered, self._counted, *about, i.End.OK, kept[0], 1)
+            self._schedule(answered_at, self._on_counter_answer, *call, i.End.OK, entry[0], 1)
 
-    def _counted(
-        self, me: int, life: int, token: int, name: int, made: float, end: i.End, total: float, _: int
+    def _on_counter_answer(
+        self,
+        ingress: int,
+        generation: int,
+        token: int,
+        name: int,
+        called_at: float,
+        end: i.End,
+        total: float,
+        _: int,
     ) -> None:
-        if life != self.life[me]:
+        if generation != self.generations[ingress]:
             return
-        if (leases := self.leases[me]) is not None:
-            leases.counted(token, end, total, self._when())
-            self._act(me)
+        if (leases := self.leases[ingress]) is not None:
+            leases.counted(token, end, total, self._wall_clock())
+            self._run_lease_actions(ingress)
         else:
-            self._give(me, i.Counted(name, self.now - made, end, total))
+            self._handle_events(ingress, i.Counted(name, self.now - called_at, end, total))
--- a/opalgauge/lab/ports.py
+++ b/opalgauge/lab/ports.py
@@ -9,11 +9,11 @@
 import random
 import socket
 
-LEAST, MOST = 15_000, 32_000
-CHANCE = random.SystemRandom()  # two scenes side by side must not try the same ones
+MIN_PORT, MAX_PORT = 15_000, 32_000
+RANDOM = random.SystemRandom()  # two scenes side by side must not try the same ones
 
 
-def _free(port: int) -> bool:
+def _is_free(port: int) -> bool:
     with socket.socket() as stream, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagram:
         try:
             stream.bind(("127.0.0.1", port))
@@ -23,11 +23,11 @@
     return True
 
 
-def free_ports(many: int) -> list[int]:
+def free_ports(count: int) -> list[int]:
     """So many ports, all different, at which neither streams nor datagrams are taken in."""
-    found: list[int] = []
-    while len(found) < many:
-        port = CHANCE.randrange(LEAST, MOST)
-        if port not in found and _free(port):
-            found.append(port)
-    return found
+    ports: list[int] = []
+    while len(ports) < count:
+        port = RANDOM.randrange(MIN_PORT, MAX_PORT)
+        if port not in ports and _is_free(port):
+            ports.append(port)
+    return ports
--- a/opalgauge/lab/quotas.py
+++ b/opalgauge/lab/quotas.py
@@ -13,57 +13,57 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tariff:
+class AccountPlan:
     """`rate` in units a second. `accounts`: how many; `spread`: over how many ingresses each comes."""
 
     name: str
     rate: float
     burst: float
-    accounts: int
+    account_count: int
     spread: int
 
-    def quota(self, span: float) -> float:
+    def quota(self, seconds: float) -> float:
         """What an account may use in `span` seconds at most."""
-        return self.burst + self.rate * span
+        return self.burst + self.rate * seconds
 
 
-TARIFFS = (
-    Tariff("starter", 1.6, 7.0, 24, 2),
-    Tariff("small", 3.4, 15.0, 12, 3),
-    Tariff("growth", 10.0, 20.0, 6, 3),
-    Tariff("large", 26.0, 52.0, 3, 3),
+PLANS = (
+    AccountPlan("starter", 1.6, 7.0, 24, 2),
+    AccountPlan("small", 3.4, 15.0, 12, 3),
+    AccountPlan("growth", 10.0, 20.0, 6, 3),
+    AccountPlan("large", 26.0, 52.0, 3, 3),
 )
 # How an account uses its quota: shares of the accounts, and what they ask over its rate.
-HABITS = ((0.6, 0.35), (0.2, 0.95), (0.2, 2.5))
+USAGE_PATTERNS = ((0.6, 0.35), (0.2, 0.95), (0.2, 2.5))
 
 
 @dataclass(slots=True)
-class Told:
+class AccountUsage:
     """Of one account in the span that is looked at, units: inside, beyond, what an ideal store lets in."""
 
-    inside: float = 0.0
-    beyond: float = 0.0
+    within_quota: float = 0.0
+    over_quota: float = 0.0
     ideal: float = 0.0
 
 
 @dataclass(slots=True)
-class Store:
-    tariff: Tariff
+class TokenBucket:
+    plan: AccountPlan
     level: float
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def take(self, units: float, now: float, wanted: bool = True) -> bool:
+    def take(self, units: float, now: float, consume: bool = True) -> bool:
         """Whether it holds these units; they are taken where they are `wanted`."""
-        self.level = min(self.tariff.burst, self.level + self.tariff.rate * max(0.0, now - self.at))
-        self.at = max(self.at, now)
+        self.level = min(self.plan.burst, self.level + self.plan.rate * max(0.0, now - self.updated_at))
+        self.updated_at = max(self.updated_at, now)
         fits = self.level >= units - 1e-9
-        self.level -= units * (fits and wanted)
+        self.level -= units * (fits and consume)
         return fits
 
 
 @dataclass(slots=True)
-class Verdict:
-    when: float
+class QuotaDecision:
+    time: float
     account: int
     units: float
     sent: bool
@@ -71,124 +71,148 @@
 
 
 def replay(
-    verdicts: Iterable[Verdict], tariffs: dict[int, Tariff], span: tuple[float, float]
-) -> dict[int, Told]:
+    decisions: Iterable[QuotaDecision], plans: dict[int, AccountPlan], interval: tuple[float, float]
+) -> dict[int, AccountUsage]:
     """Plays what was decided on true stores; counts what fell into `span`."""
-    stores: dict[int, tuple[Store, Store]] = {}
-    told: dict[int, Told] = {}
-    for v in sorted(verdicts, key=lambda v: v.when):
-        tariff = tariffs[v.account]
-        fresh = Store(tariff, tariff.burst, v.when), Store(tariff, tariff.burst, v.when)
-        store, ideal = stores.setdefault(v.account, fresh)
-        inside, wanted = store.take(v.units, v.when, v.sent), ideal.take(v.units, v.when)
-        if span[0] <= v.when < span[1]:
-            one = told.setdefault(v.account, Told())
-            one.inside += v.units * (v.sent and inside)
-            one.beyond += v.units * (v.sent and not inside)
-            one.ideal += v.units * wanted
-    return told
+    buckets: dict[int, tuple[TokenBucket, TokenBucket]] = {}
+    usage_by_account: dict[int, AccountUsage] = {}
+    for decision in sorted(decisions, key=lambda decision: decision.time):
+        plan = plans[decision.account]
+        fresh = TokenBucket(plan, plan.burst, decision.time), TokenBucket(plan, plan.burst, decision.time)
+        actual, ideal = buckets.setdefault(decision.account, fresh)
+        admitted, ideally_admitted = (
+            actual.take(decision.units, decision.time, decision.sent),
+            ideal.take(decision.units, decision.time),
+        )
+        if interval[0] <= decision.time < interval[1]:
+            usage = usage_by_account.setdefault(decision.account, AccountUsage())
+            usage.within_quota += decision.units * (decision.sent and admitted)
+            usage.over_quota += decision.units * (decision.sent and not admitted)
+            usage.ideal += decision.units * ideally_admitted
+    return usage_by_account
 
 
 @dataclass(slots=True)
-class Share:
+class PlanDeviation:
     """Of a tariff, in percent: what was sent on beyond the quotas over these, at its worst account and in
     all, and what an ideal store lets in and the ingresses did not, over the former."""
 
     overshoot: float = 0.0
-    overshoot_all: float = 0.0
-    wrong: float = 0.0
-    accounts: int = 0
-
-
-def by_tariff(told: dict[int, Told], tariffs: dict[int, Tariff], span: float) -> dict[str, Share]:
-    shares = {t.name: Share() for t in tariffs.values()}
-    for name, share in shares.items():
-        mine = [(tariffs[k], one) for k, one in told.items() if tariffs[k].name == name]
-        share.accounts = len(mine)
-        beyond = [100 * one.beyond / t.quota(span) for t, one in mine]
-        ideal = sum(one.ideal for _, one in mine)
-        share.overshoot = max(beyond, default=0.0)
-        share.overshoot_all = sum(beyond) / max(1, len(beyond))
-        share.wrong = 100 * sum(max(0.0, one.ideal - one.inside) for _, one in mine) / max(1e-9, ideal)
-    return shares
+    mean_overshoot: float = 0.0
+    wrongly_refused: float = 0.0
+    account_count: int = 0
+
+
+def deviation_by_plan(
+    usage_by_account: dict[int, AccountUsage], plans: dict[int, AccountPlan], seconds: float
+) -> dict[str, PlanDeviation]:
+    deviations = {plan.name: PlanDeviation() for plan in plans.values()}
+    for name, deviation in deviations.items():
+        usages = [
+            (plans[account], usage)
+            for account, usage in usage_by_account.items()
+            if plans[account].name == name
+        ]
+        deviation.account_count = len(usages)
+        overshoots = [100 * usage.over_quota / plan.quota(seconds) for plan, usage in usages]
+        ideal = sum(usage.ideal for _, usage in usages)
+        deviation.overshoot = max(overshoots, default=0.0)
+        deviation.mean_overshoot = sum(overshoots) / max(1, len(overshoots))
+        deviation.wrongly_refused = (
+            100 * sum(max(0.0, usage.ideal - usage.within_quota) for _, usage in usages) / max(1e-9, ideal)
+        )
+    return deviations
 
 
 @dataclass(slots=True)
-class Customer:
+class Account:
     """An account as its requests come: its ingresses, how unevenly, and what it asks a second (units)."""
 
     number: int
-    tariff: Tariff
-    first: int
-    asks: float
-    weights: list[float] = field(default_factory=list)
+    plan: AccountPlan
+    first_ingress: int
+    units_per_second: float
+    ingress_weights: list[float] = field(default_factory=list)
 
-    def members(self, ingresses: int) -> list[int]:
+    def member_ingresses(self, ingress_count: int) -> list[int]:
         """Those of the ingresses that its requests come through, in their order."""
-        return [(self.first + k) % ingresses for k in range(min(self.tariff.spread, ingresses))]
+        return [
+            (self.first_ingress + offset) % ingress_count
+            for offset in range(min(self.plan.spread, ingress_count))
+        ]
 
 
-class Load:
+class AccountLoad:
     """Requests of all accounts by a seeded plan; whose busiest ingress is changes each `shift` seconds."""
 
-    def __init__(self, tariffs: Iterable[Tariff], ingresses: int, seed: int, shift: float = 6.0) -> None:
-        self.rng, self.ingresses, self.shift = random.Random(seed), ingresses, shift
-        self.customers: list[Customer] = []
-        for tariff in tariffs:
-            for n in range(tariff.accounts):
-                at, habit = (n + 0.5) / tariff.accounts, HABITS[-1][1]
-                for share, habit in HABITS:  # noqa: B007
-                    if at <= share:
+    def __init__(
+        self, plans: Iterable[AccountPlan], ingress_count: int, seed: int, shift_interval: float = 6.0
+    ) -> None:
+        self.rng, self.ingress_count, self.shift_interval = random.Random(seed), ingress_count, shift_interval
+        self.accounts: list[Account] = []
+        for plan in plans:
+            for n in range(plan.account_count):
+                position, demand = (n + 0.5) / plan.account_count, USAGE_PATTERNS[-1][1]
+                for share, demand in USAGE_PATTERNS:  # noqa: B007
+                    if position <= share:
                         break
-                    at -= share
-                first = self.rng.randrange(ingresses)
-                number = 1000 + len(self.customers)
-                self.customers.append(Customer(number, tariff, first, habit * tariff.rate))
-                self.turn(self.customers[-1])
-        self.tariffs = {c.number: c.tariff for c in self.customers}
-
-    def turn(self, customer: Customer) -> None:
+                    position -= share
+                first_ingress = self.rng.randrange(ingress_count)
+                number = 1000 + len(self.accounts)
+                self.accounts.append(Account(number, plan, first_ingress, demand * plan.rate))
+                self.shift_traffic(self.accounts[-1])
+        self.plan_by_account = {account.number: account.plan for account in self.accounts}
+
+    def shift_traffic(self, account: Account) -> None:
         """Its requests shift to others of its ingresses."""
-        customer.weights = [1 / (k + 1) for k in range(len(customer.members(self.ingresses)))]
-        self.rng.shuffle(customer.weights)
+        account.ingress_weights = [
+            1 / (rank + 1) for rank in range(len(account.member_ingresses(self.ingress_count)))
+        ]
+        self.rng.shuffle(account.ingress_weights)
 
     def requests(
         self, seconds: float, units: tuple[int, ...] = (1, 1, 2)
     ) -> list[tuple[float, int, int, int]]:
         """When, account's place in `customers`, units, and the ingress."""
         found = []
-        mean = sum(units) / len(units)
-        for place, customer in enumerate(self.customers):
-            at, turned = self.rng.expovariate(customer.asks / mean), 0.0
+        mean_units = sum(units) / len(units)
+        for index, account in enumerate(self.accounts):
+            at, shifted_at = self.rng.expovariate(account.units_per_second / mean_units), 0.0
             while at < seconds:
-                if at - turned > self.shift:
-                    turned = at
-                    self.turn(customer)
-                me = self.rng.choices(customer.members(self.ingresses), customer.weights)[0]
-                found.append((at, place, self.rng.choice(units), me))
-                at += self.rng.expovariate(customer.asks / mean)
+                if at - shifted_at > self.shift_interval:
+                    shifted_at = at
+                    self.shift_traffic(account)
+                ingress = self.rng.choices(
+                    account.member_ingresses(self.ingress_count), account.ingress_weights
+                )[0]
+                found.append((at, index, self.rng.choice(units), ingress))
+                at += self.rng.expovariate(account.units_per_second / mean_units)
         return sorted(found)
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class DeviationBound:
     """What leases promise of a tariff's accounts in `span` seconds without the counter, in percent.
 
     The terms are those of `docs/design/leases.md`.
     """
 
     overshoot: float
-    wrong: float
+    wrongly_refused: float
 
 
-def bound(tariff: Tariff, span: float, most_units: float, ingresses: int) -> Bound:
-    spread = min(tariff.spread, ingresses)
+def deviation_bound(
+    plan: AccountPlan, seconds: float, max_units: float, ingress_count: int
+) -> DeviationBound:
+    spread = min(plan.spread, ingress_count)
     # What stands for others is told one request late, and totals are floored, at each ingress once.
-    late = (spread - 1) * most_units + spread
+    late_units = (spread - 1) * max_units + spread
     # Who had not met the account before the cut takes it to have used half of its quota.
-    unknown = 0.5 * tariff.burst * (spread - 1) / spread
+    unknown_units = 0.5 * plan.burst * (spread - 1) / spread
     # Rights are even and use is not: what the busiest ingress asks over its part, if nothing is granted.
-    weights = [1 / (k + 1) for k in range(spread)]
+    weights = [1 / (rank + 1) for rank in range(spread)]
     uneven = weights[0] / sum(weights) - 1 / spread
-    quota = tariff.quota(span)
-    return Bound(100 * (late + unknown) / quota, 100 * uneven + 100 * spread * most_units / quota)
+    quota = plan.quota(seconds)
+    return DeviationBound(
+        100 * (late_units + unknown_units) / quota, 100 * uneven + 100 * spread * max_units / quota
+    )
--- a/opalgauge/lab/simulation.py
+++ b/opalgauge/lab/simulation.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 EPOCH = datetime(2026, 12, 1, tzinfo=UTC)
-ROUND = 0.05  # s between two steps of a part that is stepped by time
+TICK_INTERVAL = 0.05  # s between two steps of a part that is stepped by time
 
 
 class Simulation:
@@ -18,19 +18,19 @@
     def __init__(self, seed: int) -> None:
         self.now, self.rng = 0.0, random.Random(seed)
         self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._serial = 0
+        self._sequence = 0
 
-    def _when(self, skew: float = 0.0) -> datetime:
+    def _wall_clock(self, skew: float = 0.0) -> datetime:
         return EPOCH + timedelta(seconds=self.now + skew)
 
-    def _at(self, when: float, what: Callable[..., None], *about: Any) -> None:
-        self._serial += 1
-        heapq.heappush(self._queue, (when, self._serial, what, about))
+    def _schedule(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        self._sequence += 1
+        heapq.heappush(self._queue, (when, self._sequence, callback, args))
 
-    def _next(self, until: float) -> bool:
+    def _run_next(self, until: float) -> bool:
         """Does what comes next; False where nothing does up to then."""
         if not self._queue or self._queue[0][0] > until:
             return False
-        self.now, _, what, about = heapq.heappop(self._queue)
-        what(*about)
+        self.now, _, callback, args = heapq.heappop(self._queue)
+        callback(*args)
         return True
--- a/opalgauge/lab/skewed_clock.py
+++ b/opalgauge/lab/skewed_clock.py
@@ -10,14 +10,14 @@
 
 
 def main() -> None:
-    off = timedelta(seconds=float(sys.argv.pop(1)))
-    true = Clock.__init__
+    skew = timedelta(seconds=float(sys.argv.pop(1)))
+    original_init = Clock.__init__
 
-    def skewed(self: Clock) -> None:
-        true(self)
-        self.anchor += off
+    def skewed_init(self: Clock) -> None:
+        original_init(self)
+        self.anchor += skew
 
-    Clock.__init__ = skewed  # type: ignore[method-assign]
+    Clock.__init__ = skewed_init  # type: ignore[method-assign]
     from opalgauge.cli.main import main as command
 
     command()
--- a/opalgauge/lab/stand_ins.py
+++ b/opalgauge/lab/stand_ins.py
@@ -18,68 +18,68 @@
 import uvloop
 
 DONE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-BAD = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
-END = b"\r\n\r\n"
+BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
+END_OF_HEAD = b"\r\n\r\n"
 
 
-class Http(asyncio.Protocol):
+class HttpConnection(asyncio.Protocol):
     """Reads requests with at most a Content-Length body, one behind another, and hands each to `take`."""
 
-    def __init__(self, take: Callable[[Http, bytes, bytes], None]) -> None:
-        self.take, self.held = take, b""
+    def __init__(self, handler: Callable[[HttpConnection, bytes, bytes], None]) -> None:
+        self.handler, self.buffer = handler, b""
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        while (end := self.held.find(END)) >= 0:
-            head = self.held[:end]
-            at = head.lower().find(b"content-length:")
-            body = int(head[at + 15 :].split(b"\r\n", 1)[0]) if at >= 0 else 0
-            whole = end + 4 + body
-            if len(self.held) < whole:
+        self.buffer += data
+        while (head_end := self.buffer.find(END_OF_HEAD)) >= 0:
+            head = self.buffer[:head_end]
+            length_at = head.lower().find(b"content-length:")
+            body_length = int(head[length_at + 15 :].split(b"\r\n", 1)[0]) if length_at >= 0 else 0
+            total_length = head_end + 4 + body_length
+            if len(self.buffer) < total_length:
                 return
-            self.held = self.held[whole:]
-            self.take(self, head, b"")
+            self.buffer = self.buffer[total_length:]
+            self.handler(self, head, b"")
 
     def answer(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(data)
 
 
-class Nodes:
+class StandInServers:
     """Any number of stock nodes in one process; they differ by address alone."""
 
     def __init__(self, delay: float) -> None:
         self.delay = delay
         self.loop = asyncio.get_running_loop()
-        self.requests = self.doubled = 0
-        self.ids: set[bytes] = set()
+        self.requests = self.duplicates = 0
+        self.request_ids: set[bytes] = set()
         self.units: dict[str, float] = {}
 
-    def take(self, line: Http, head: bytes, _: bytes) -> None:
-        target = head.split(b" ", 2)[1].decode("latin-1").split("/")
-        at = head.find(b"X-Correlation-Id: ")
-        name = head[at + 18 :].split(b"\r\n", 1)[0]
+    def handle(self, connection: HttpConnection, head: bytes, _: bytes) -> None:
+        path = head.split(b" ", 2)[1].decode("latin-1").split("/")
+        id_at = head.find(b"X-Correlation-Id: ")
+        request_id = head[id_at + 18 :].split(b"\r\n", 1)[0]
         self.requests += 1
-        if name in self.ids:
-            self.doubled += 1
+        if request_id in self.request_ids:
+            self.duplicates += 1
         else:
-            self.ids.add(name)
-            if len(target) > 3:
-                self.units[target[2]] = self.units.get(target[2], 0.0) + float(target[3])
+            self.request_ids.add(request_id)
+            if len(path) > 3:
+                self.units[path[2]] = self.units.get(path[2], 0.0) + float(path[3])
         if self.delay:
-            self.loop.call_later(self.delay, line.answer, DONE)
+            self.loop.call_later(self.delay, connection.answer, DONE)
         else:
-            line.answer(DONE)
+            connection.answer(DONE)
 
-    def seen(self) -> dict[str, Any]:
-        return {"requests": self.requests, "doubled": self.doubled, "units": self.units}
+    def report(self) -> dict[str, Any]:
+        return {"requests": self.requests, "doubled": self.duplicates, "units": self.units}
 
 
-class Counter:
+class StandInCounter:
     """Named totals; a name is forgotten when the life that its first call told is over.
 
     `work`: seconds that each call takes in its turn; 0: none, and all are answered at once.
@@ -91,49 +91,51 @@
         self.sums: dict[str, float] = {}
         self.calls = 0
 
-    def take(self, line: Http, head: bytes, _: bytes) -> None:
+    def handle(self, connection: HttpConnection, head: bytes, _: bytes) -> None:
         self.calls += 1
         target = head.split(b" ", 2)[1]
         name, _q, query = target.partition(b"?")
-        told = dict(part.split(b"=", 1) for part in query.split(b"&"))
+        parameters = dict(part.split(b"=", 1) for part in query.split(b"&"))
         try:
-            by, life = float(told[b"by"]), float(told[b"expire_ms"]) / 1000
+            amount, ttl = float(parameters[b"by"]), float(parameters[b"expire_ms"]) / 1000
         except (KeyError, ValueError):
-            line.answer(BAD)
+            connection.answer(BAD_REQUEST)
             return
         if not self.work:
-            self._add(line, name, by, life)
+            self._add(connection, name, amount, ttl)
             return
         loop = asyncio.get_running_loop()
         self.free_at = max(loop.time(), self.free_at) + self.work
-        loop.call_at(self.free_at, self._add, line, name, by, life)
+        loop.call_at(self.free_at, self._add, connection, name, amount, ttl)
 
-    def _add(self, line: Http, name: bytes, by: float, life: float) -> None:
+    def _add(self, connection: HttpConnection, name: bytes, amount: float, ttl: float) -> None:
         now = time.monotonic()
-        kept = self.totals.get(name)
-        if kept is None or now >= kept[1]:
-            kept = self.totals[name] = [0.0, now + life]
-        kept[0] += by
+        entry = self.totals.get(name)
+        if entry is None or now >= entry[1]:
+            entry = self.totals[name] = [0.0, now + ttl]
+        entry[0] += amount
         key = name.rsplit(b"/", 1)[1].decode()
-        self.sums[key] = self.sums.get(key, 0.0) + by
-        body = b"%.7g" % kept[0]
-        line.answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        self.sums[key] = self.sums.get(key, 0.0) + amount
+        body = b"%.7g" % entry[0]
+        connection.answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
-    def seen(self) -> dict[str, Any]:
+    def report(self) -> dict[str, Any]:
         return {"calls": self.calls, "sums": self.sums}
 
 
 async def serve(kind: str, addresses: list[str], options: dict[str, str]) -> None:
     loop = asyncio.get_running_loop()
-    part: Nodes | Counter = Nodes(float(options.get("delay", 0))) if kind == "node" else Counter()
+    stand_in: StandInServers | StandInCounter = (
+        StandInServers(float(options.get("delay", 0))) if kind == "node" else StandInCounter()
+    )
     for address in addresses:
         host, _, port = address.rpartition(":")
-        await loop.create_server(lambda: Http(part.take), host, int(port), backlog=1024)
-    over = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, over.set)
+        await loop.create_server(lambda: HttpConnection(stand_in.handle), host, int(port), backlog=1024)
+    stopped = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, stopped.set)
     print("up", flush=True)
-    await over.wait()
-    print(json.dumps(part.seen()), flush=True)
+    await stopped.wait()
+    print(json.dumps(stand_in.report()), flush=True)
 
 
 if __name__ == "__main__":
--- a/opalgauge/lab/zone_simulation.py
+++ b/opalgauge/lab/zone_simulation.py
@@ -8,229 +8,265 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from opalgauge.lab.server_model import Model
-from opalgauge.lab.simulation import ROUND, Simulation
+from opalgauge.lab.server_model import ServerModel
+from opalgauge.lab.simulation import TICK_INTERVAL, Simulation
 from opalgauge.memory.effects import AttemptSeen
 from opalgauge.zones import messages
 from opalgauge.zones.watch import Judged, Rules, Say, Watch
 from starlinggap import Gateway
 from starlinggap import interface as i
 
-AIM, DEADLINE, DIAL = 1.2, 4.0, 0.1
+AIM, DEADLINE, CONNECT_FAILURE_TIME = 1.2, 4.0, 0.1
 
 
 @dataclass(slots=True)
-class Scene:
+class Scenario:
     """Sizes, load and what goes wrong; times in seconds. `cut`: a zone goes, and is back, cold."""
 
     ingresses: int = 50
     zones: int = 3
-    nodes: int = 10
+    servers_per_zone: int = 10
     rate: float = 300.0
     seconds: float = 20.0
     seed: int = 1
     work: float = 0.06
-    cold: float = 8.0
-    leave: bool = True
-    cut: tuple[float, float] = (3.0, 9.0)
+    warm_up: float = 8.0
+    leave_zones: bool = True
+    outage: tuple[float, float] = (3.0, 9.0)
     drop: float = 0.072
     delay: tuple[float, float] = (0.002, 0.017)
-    told: int = 0  # how many ingresses the settings say there are; 0: as many as there are
+    stated_ingresses: int = 0  # how many ingresses the settings say there are; 0: as many as there are
     restarts: tuple[tuple[float, int], ...] = ()
 
 
 @dataclass(slots=True)
-class Seen:
-    asked: int = 0
+class Result:
+    requests: int = 0
     served: int = 0
     late: int = 0
     refused: int = 0
     failed: int = 0
-    doubled: int = 0
+    duplicates: int = 0
     unanswered: int = 0
-    overload: float = 0.0  # of the worst node of the zone that returned
-    first_failed: float | None = None
-    last_try: float | None = None  # to the zone that was cut, before it was back
-    most_words: int = 0  # that reached one ingress in one second
-    longest_word: int = 0
-    left: list[float] = field(default_factory=list)  # when each ingress left it
+    max_overload: float = 0.0  # of the worst node of the zone that returned
+    first_failure: float | None = None
+    last_attempt: float | None = None  # to the zone that was cut, before it was back
+    max_received_per_second: int = 0  # that reached one ingress in one second
+    max_message_size: int = 0
+    left_at: list[float] = field(default_factory=list)  # when each ingress left it
 
 
-class World(Simulation):
+class ZoneSimulation(Simulation):
     """Everything of a scene."""
 
-    def __init__(self, scene: Scene) -> None:
-        super().__init__(scene.seed)
-        self.s, self.seen = scene, Seen()
-        self.models = [Model(work=scene.work, cold=scene.cold) for _ in range(scene.zones * scene.nodes)]
+    def __init__(self, scenario: Scenario) -> None:
+        super().__init__(scenario.seed)
+        self.scenario, self.result = scenario, Result()
+        self.models = [
+            ServerModel(mean_work=scenario.work, warm_up=scenario.warm_up)
+            for _ in range(scenario.zones * scenario.servers_per_zone)
+        ]
         self.entries = tuple(
-            i.ServerEntry(n + 1, i.Health.READY, n // scene.nodes) for n in range(len(self.models))
+            i.ServerEntry(index + 1, i.Health.READY, index // scenario.servers_per_zone)
+            for index in range(len(self.models))
         )
-        self.gates: list[Gateway] = []
+        self.gateways: list[Gateway] = []
         self.watches: list[Watch] = []
-        self.life = [0] * scene.ingresses
-        self.heard: list[dict[int, int]] = [{} for _ in range(scene.ingresses)]
-        self.tries: dict[int, int] = {}
-        self.open: dict[int, tuple[float, i.Request]] = {}
-        self.out: dict[tuple[int, int, int], tuple[int, int]] = {}  # gate, request, attempt: node, life
-        for me in range(scene.ingresses):
-            self.gates.append(self._gate(me, 0))
-            self.watches.append(self._watch(me))
-            self._at(ROUND * self.rng.random(), self._tick, me, 0)
-        self._at(self.rng.expovariate(scene.rate), self._arrive, 1)
-        for when, me in scene.restarts:
-            self._at(when, self._restart, me)
-        self._at(scene.cut[1], self._back)
-
-    def _gate(self, me: int, life: int) -> Gateway:
+        self.generations = [0] * scenario.ingresses
+        self.received: list[dict[int, int]] = [{} for _ in range(scenario.ingresses)]
+        self.attempts: dict[int, int] = {}
+        self.pending: dict[int, tuple[float, i.Request]] = {}
+        self.in_flight: dict[tuple[int, int, int], tuple[int, int]] = {}  # gate, request, attempt: node, life
+        for ingress in range(scenario.ingresses):
+            self.gateways.append(self._make_gateway(ingress, 0))
+            self.watches.append(self._make_watch(ingress))
+            self._schedule(TICK_INTERVAL * self.rng.random(), self._tick, ingress, 0)
+        self._schedule(self.rng.expovariate(scenario.rate), self._arrive, 1)
+        for when, ingress in scenario.restarts:
+            self._schedule(when, self._restart, ingress)
+        self._schedule(scenario.outage[1], self._end_outage)
+
+    def _make_gateway(self, ingress: int, generation: int) -> Gateway:
         settings = i.Settings(
             classes=(
                 i.RequestClass(AIM, DEADLINE, 1.0),
                 i.RequestClass(AIM, DEADLINE, 2.0, effect=i.Effect.UNSAFE),
             ),
-            plans=(i.Plan(),), gateways=self.s.ingresses, me=me, zone=me % self.s.zones, max_attempts=4,
-            cancel=True, probes=True, cold=self.s.cold, cold_from=0.21, fall=3.0, fall_multiple=4.0,
+            plans=(i.Plan(),), gateways=self.scenario.ingresses, me=ingress,
+            zone=ingress % self.scenario.zones, max_attempts=4, cancel=True, probes=True,
+            cold=self.scenario.warm_up, cold_from=0.21, fall=3.0, fall_multiple=4.0,
         )  # fmt: skip
-        gate = Gateway(settings, self.s.seed * 1000 + me + life * 77)
-        gate.handle(self.now, [i.ServerList(i.ListKind.WHOLE, self.entries)])
-        return gate
-
-    def _watch(self, me: int) -> Watch:
-        usual = (timedelta(seconds=self.s.work), timedelta(seconds=self.s.work))
-        names = tuple(f"zone-{n}" for n in range(self.s.zones))
-        cold = timedelta(seconds=self.s.cold)
-        told = self.s.told or self.s.ingresses
-        rules = Rules(names, told, me, usual, cold, 0.21)
-        watch = Watch(rules, self._when(), int(self.now * 1000), self.s.seed + me)
+        gateway = Gateway(settings, self.scenario.seed * 1000 + ingress + generation * 77)
+        gateway.handle(self.now, [i.ServerList(i.ListKind.WHOLE, self.entries)])
+        return gateway
+
+    def _make_watch(self, ingress: int) -> Watch:
+        expected_times = (timedelta(seconds=self.scenario.work), timedelta(seconds=self.scenario.work))
+        names = tuple(f"zone-{index}" for index in range(self.scenario.zones))
+        cold = timedelta(seconds=self.scenario.warm_up)
+        stated = self.scenario.stated_ingresses or self.scenario.ingresses
+        rules = Rules(names, stated, ingress, expected_times, cold, 0.21)
+        watch = Watch(rules, self._wall_clock(), int(self.now * 1000), self.scenario.seed + ingress)
         watch.listed(self.entries)
         return watch
 
-    def play(self) -> Seen:
-        while self._next(self.s.seconds + DEADLINE + 1):
+    def run(self) -> Result:
+        while self._run_next(self.scenario.seconds + DEADLINE + 1):
             pass
-        self.seen.unanswered = len(self.open)
-        first = self.models[: self.s.nodes]
-        self.seen.overload = max(model.overload(self.s.cut[1]) for model in first)
-        return self.seen
+        self.result.unanswered = len(self.pending)
+        returned = self.models[: self.scenario.servers_per_zone]
+        self.result.max_overload = max(model.overload(self.scenario.outage[1]) for model in returned)
+        return self.result
 
     # --- what happens --------------------------------------------------------------------------------------
-    def _is_cut(self, node: int) -> bool:
-        return node <= self.s.nodes and self.s.cut[0] <= self.now < self.s.cut[1]
+    def _in_outage(self, server: int) -> bool:
+        return (
+            server <= self.scenario.servers_per_zone
+            and self.scenario.outage[0] <= self.now < self.scenario.outage[1]
+        )
 
-    def _back(self) -> None:
-        for model in self.models[: self.s.nodes]:
+    def _end_outage(self) -> None:
+        for model in self.models[: self.scenario.servers_per_zone]:
             model.restart(self.now)
 
     def _arrive(self, number: int) -> None:
-        if self.now > self.s.seconds:
+        if self.now > self.scenario.seconds:
             return
-        me = self.rng.randrange(self.s.ingresses)
+        ingress = self.rng.randrange(self.scenario.ingresses)
         request = i.Request(number, int(self.rng.random() < 0.3), 0, number, DEADLINE)
-        self.seen.asked += 1
-        self.open[number] = self.now, request
-        self._do(me, self.gates[me].handle(self.now, [request]))
-        self._at(self.now + self.rng.expovariate(self.s.rate), self._arrive, number + 1)
+        self.result.requests += 1
+        self.pending[number] = self.now, request
+        self._apply(ingress, self.gateways[ingress].handle(self.now, [request]))
+        self._schedule(self.now + self.rng.expovariate(self.scenario.rate), self._arrive, number + 1)
 
-    def _restart(self, me: int) -> None:
+    def _restart(self, ingress: int) -> None:
         """It knows nothing any more; what it held is nobody's loss here."""
-        self.life[me] += 1
-        for key in [k for k in self.out if k[0] == me]:
-            self.open.pop(key[1], None)
-            del self.out[key]
-        self.gates[me] = self._gate(me, self.life[me])
-        self.watches[me] = self._watch(me)
-        self._at(self.now + ROUND, self._tick, me, self.life[me])
-
-    def _tick(self, me: int, life: int) -> None:
-        if life != self.life[me] or self.now > self.s.seconds + DEADLINE:
+        self.generations[ingress] += 1
+        for key in [key for key in self.in_flight if key[0] == ingress]:
+            self.pending.pop(key[1], None)
+            del self.in_flight[key]
+        self.gateways[ingress] = self._make_gateway(ingress, self.generations[ingress])
+        self.watches[ingress] = self._make_watch(ingress)
+        self._schedule(self.now + TICK_INTERVAL, self._tick, ingress, self.generations[ingress])
+
+    def _tick(self, ingress: int, generation: int) -> None:
+        if generation != self.generations[ingress] or self.now > self.scenario.seconds + DEADLINE:
             return
-        self._at(self.now + ROUND, self._tick, me, life)
-        for action in self.watches[me].tick(self._when()):
+        self._schedule(self.now + TICK_INTERVAL, self._tick, ingress, generation)
+        for action in self.watches[ingress].tick(self._wall_clock()):
             if isinstance(action, Say):
                 data = messages.write(action.message)
-                self.seen.longest_word = max(self.seen.longest_word, len(data))
+                self.result.max_message_size = max(self.result.max_message_size, len(data))
                 for peer in action.peers:
-                    if peer < self.s.ingresses and self.rng.random() >= self.s.drop:
-                        wait = self.rng.uniform(*self.s.delay)
-                        self._at(self.now + wait, self._word, peer, data)
-            elif isinstance(action, Judged) and self.s.leave:
+                    if peer < self.scenario.ingresses and self.rng.random() >= self.scenario.drop:
+                        wait = self.rng.uniform(*self.scenario.delay)
+                        self._schedule(self.now + wait, self._receive, peer, data)
+            elif isinstance(action, Judged) and self.scenario.leave_zones:
                 if action.zone == 0 and action.share == 0 and not action.trial:
-                    self.seen.left.append(self.now)
+                    self.result.left_at.append(self.now)
                 if action.trial:
-                    self._trial(me, action.trial)
-                self._do(me, self.gates[me].handle(self.now, [i.ZoneShare(action.zone, action.share)]))
-        self._do(me, self.gates[me].handle(self.now, []))
+                    self._trial(ingress, action.trial)
+                self._apply(
+                    ingress, self.gateways[ingress].handle(self.now, [i.ZoneShare(action.zone, action.share)])
+                )
+        self._apply(ingress, self.gateways[ingress].handle(self.now, []))
 
-    def _word(self, me: int, data: bytes) -> None:
+    def _receive(self, ingress: int, data: bytes) -> None:
         second = int(self.now)
-        self.heard[me][second] = self.heard[me].get(second, 0) + 1
-        self.seen.most_words = max(self.seen.most_words, self.heard[me][second])
+        self.received[ingress][second] = self.received[ingress].get(second, 0) + 1
+        self.result.max_received_per_second = max(
+            self.result.max_received_per_second, self.received[ingress][second]
+        )
         message = messages.read(data)
         assert message is not None
-        self.watches[me].heard(message, self._when())
-
-    def _trial(self, me: int, node: int) -> None:
-        watch, zone = self.watches[me], self.entries[node - 1].zone
-        watch.seen(AttemptSeen((0, node), node, zone, 0), self._when())
-        took = DIAL if self._is_cut(node) else 0.002
-        end = i.End.CONNECT_FAILED if self._is_cut(node) else i.End.OK
-        self._at(self.now + took, self._probed, me, self.life[me], node, end, took)
-
-    def _probed(self, me: int, life: int, node: int, end: i.End, took: float) -> None:
-        if life == self.life[me]:
-            seen = AttemptSeen((0, node), node, self.entries[node - 1].zone, 0, end, timedelta(seconds=took))
-            self.watches[me].seen(seen, self._when())
-
-    def _do(self, me: int, actions: list[i.Action]) -> None:
-        for a in actions:
-            if isinstance(a, i.Send):
-                self._send(me, a)
-            elif isinstance(a, i.Cancel):
-                if (me, a.request, a.attempt) in self.out:
-                    self._end(me, self.life[me], a.request, a.attempt, i.End.CANCELLED, self.now)
-            elif isinstance(a, i.Timer):
-                self._at(a.at, self._timer, me, self.life[me], a.token)
-            elif isinstance(a, i.Refuse | i.Fail):
-                if self.open.pop(a.request, None):
-                    self.seen.refused += isinstance(a, i.Refuse)
-                    self.seen.failed += isinstance(a, i.Fail)
-
-    def _timer(self, me: int, life: int, token: int) -> None:
-        if life == self.life[me]:
-            self._do(me, self.gates[me].handle(self.now, [i.TimerFired(token)]))
-
-    def _send(self, me: int, a: i.Send) -> None:
-        n = self.tries.get(a.request, 0)
-        self.tries[a.request] = n + 1
-        zone = self.entries[a.server - 1].zone
-        self.watches[me].seen(AttemptSeen((a.request, n), a.server, zone, 0), self._when())
-        self.out[me, a.request, n] = a.server, self.life[me]
-        if self._is_cut(a.server):
-            self.seen.last_try = self.now
-            when, end = self.now + DIAL, i.End.CONNECT_FAILED
+        self.watches[ingress].heard(message, self._wall_clock())
+
+    def _trial(self, ingress: int, server: int) -> None:
+        watch, zone = self.watches[ingress], self.entries[server - 1].zone
+        watch.seen(AttemptSeen((0, server), server, zone, 0), self._wall_clock())
+        took = CONNECT_FAILURE_TIME if self._in_outage(server) else 0.002
+        end = i.End.CONNECT_FAILED if self._in_outage(server) else i.End.OK
+        self._schedule(
+            self.now + took, self._trial_done, ingress, self.generations[ingress], server, end, took
+        )
+
+    def _trial_done(self, ingress: int, generation: int, server: int, end: i.End, took: float) -> None:
+        if generation == self.generations[ingress]:
+            observation = AttemptSeen(
+                (0, server), server, self.entries[server - 1].zone, 0, end, timedelta(seconds=took)
+            )
+            self.watches[ingress].seen(observation, self._wall_clock())
+
+    def _apply(self, ingress: int, actions: list[i.Action]) -> None:
+        for action in actions:
+            if isinstance(action, i.Send):
+                self._send_attempt(ingress, action)
+            elif isinstance(action, i.Cancel):
+                if (ingress, action.request, action.attempt) in self.in_flight:
+                    self._end_attempt(
+                        ingress,
+                        self.generations[ingress],
+                        action.request,
+                        action.attempt,
+                        i.End.CANCELLED,
+                        self.now,
+                    )
+            elif isinstance(action, i.Timer):
+                self._schedule(action.at, self._on_timer, ingress, self.generations[ingress], action.token)
+            elif isinstance(action, i.Refuse | i.Fail):
+                if self.pending.pop(action.request, None):
+                    self.result.refused += isinstance(action, i.Refuse)
+                    self.result.failed += isinstance(action, i.Fail)
+
+    def _on_timer(self, ingress: int, generation: int, token: int) -> None:
+        if generation == self.generations[ingress]:
+            self._apply(ingress, self.gateways[ingress].handle(self.now, [i.TimerFired(token)]))
+
+    def _send_attempt(self, ingress: int, action: i.Send) -> None:
+        attempt = self.attempts.get(action.request, 0)
+        self.attempts[action.request] = attempt + 1
+        zone = self.entries[action.server - 1].zone
+        self.watches[ingress].seen(
+            AttemptSeen((action.request, attempt), action.server, zone, 0), self._wall_clock()
+        )
+        self.in_flight[ingress, action.request, attempt] = action.server, self.generations[ingress]
+        if self._in_outage(action.server):
+            self.result.last_attempt = self.now
+            when, end = self.now + CONNECT_FAILURE_TIME, i.End.CONNECT_FAILED
         else:
-            done = self.models[a.server - 1].arrive(self.now, str(a.request))
+            done = self.models[action.server - 1].arrive(self.now, str(action.request))
             when, end = (done, i.End.OK) if done is not None else (self.now + 0.001, i.End.FULL)
-            if when > a.stop_at:
-                when, end = a.stop_at, i.End.TIMEOUT
-        self._at(when, self._end, me, self.life[me], a.request, n, end, self.now)
+            if when > action.stop_at:
+                when, end = action.stop_at, i.End.TIMEOUT
+        self._schedule(
+            when,
+            self._end_attempt,
+            ingress,
+            self.generations[ingress],
+            action.request,
+            attempt,
+            end,
+            self.now,
+        )
 
-    def _end(self, me: int, life: int, request: int, n: int, end: i.End, begun: float) -> None:
-        if life != self.life[me] or (me, request, n) not in self.out:
+    def _end_attempt(
+        self, ingress: int, generation: int, request: int, attempt: int, end: i.End, started: float
+    ) -> None:
+        if generation != self.generations[ingress] or (ingress, request, attempt) not in self.in_flight:
             return
-        node, _ = self.out.pop((me, request, n))
-        if end is i.End.OK and self._is_cut(node):
+        server, _ = self.in_flight.pop((ingress, request, attempt))
+        if end is i.End.OK and self._in_outage(server):
             end = i.End.RESET  # it went while it worked on it
-        if end in (i.End.CONNECT_FAILED, i.End.RESET) and self.seen.first_failed is None:
-            self.seen.first_failed = self.now
-        took = timedelta(seconds=self.now - begun)
-        seen = AttemptSeen((request, n), node, self.entries[node - 1].zone, 0, end, took)
-        self.watches[me].seen(seen, self._when())
+        if end in (i.End.CONNECT_FAILED, i.End.RESET) and self.result.first_failure is None:
+            self.result.first_failure = self.now
+        took = timedelta(seconds=self.now - started)
+        observation = AttemptSeen((request, attempt), server, self.entries[server - 1].zone, 0, end, took)
+        self.watches[ingress].seen(observation, self._wall_clock())
         answered = False
-        if end is i.End.OK and (held := self.open.pop(request, None)):
+        if end is i.End.OK and (pending := self.pending.pop(request, None)):
             answered = True
-            late = self.now - held[0] > AIM
-            self.seen.late += late
-            self.seen.served += not late
-        event = i.Outcome(request, n, node, end, took.total_seconds(), answered)
-        self._do(me, self.gates[me].handle(self.now, [event]))
+            late = self.now - pending[0] > AIM
+            self.result.late += late
+            self.result.served += not late
+        event = i.Outcome(request, attempt, server, end, took.total_seconds(), answered)
+        self._apply(ingress, self.gateways[ingress].handle(self.now, [event]))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -12,8 +12,8 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from opalgauge.lab.lease_simulation import Scene, World
-from opalgauge.lab.quotas import TARIFFS, Tariff, Verdict, bound, by_tariff, replay
+from opalgauge.lab.lease_simulation import LeaseSimulation, Scenario
+from opalgauge.lab.quotas import PLANS, AccountPlan, QuotaDecision, deviation_bound, deviation_by_plan, replay
 from opalgauge.leases import messages
 from opalgauge.leases.actions import Action, CallCounter, ReportUse, SendMessage, TellTotal
 from opalgauge.leases.counter_health import LATE, SILENCE, CounterHealth, CounterState
@@ -478,25 +478,32 @@
     "counter gone": {},
     "half of the messages lost": {"drop": 0.5},
     "no messages": {"drop": 1.0},
-    "7.7 times slower": {"slow": 7.7},
-    "gone for some": {"without": (0, 1, 2)},
-    "two halves": {"groups": HALVES, "split": CUT},
-    "two halves, one with the counter": {"groups": HALVES, "split": CUT, "without": (0, 1, 2)},
+    "7.7 times slower": {"slowdown": 7.7},
+    "gone for some": {"affected": (0, 1, 2)},
+    "two halves": {"groups": HALVES, "partition": CUT},
+    "two halves, one with the counter": {"groups": HALVES, "partition": CUT, "affected": (0, 1, 2)},
     "restarts": {"restarts": ((9.0, 0), (11.0, 1), (13.0, 2))},
-    "accounts that move": {"shift": 1.5},
+    "accounts that move": {"shift_interval": 1.5},
     "twenty ingresses": {"ingresses": 20},
 }
 
 
 @pytest.mark.parametrize("name", SCENES)
 def test_each_tariff_stays_within_its_bound_whatever_is_cut(name: str) -> None:
-    scene = Scene(seconds=22.0, cut=CUT, **SCENES[name])  # type: ignore[arg-type]
-    seen = World(scene).play()
-    assert seen.unanswered == 0 and seen.most_words <= 100 and seen.longest_word <= LONGEST
-    for tariff in TARIFFS:
-        share, stated = seen.cut[tariff.name], bound(tariff, CUT[1] - CUT[0], 2, scene.ingresses)
-        assert share.overshoot <= stated.overshoot
-        assert share.wrong <= stated.wrong
+    scenario = Scenario(seconds=22.0, outage=CUT, **SCENES[name])  # type: ignore[arg-type]
+    result = LeaseSimulation(scenario).run()
+    assert (
+        result.unanswered == 0
+        and result.max_received_per_second <= 100
+        and result.max_message_size <= LONGEST
+    )
+    for plan in PLANS:
+        deviation, stated = (
+            result.during_outage[plan.name],
+            deviation_bound(plan, CUT[1] - CUT[0], 2, scenario.ingresses),
+        )
+        assert deviation.overshoot <= stated.overshoot
+        assert deviation.wrongly_refused <= stated.wrongly_refused
 
 
 # While a slow counter was taken for one that had recovered at each late answer, each of these passed a bound:
@@ -512,32 +519,43 @@
     passed = []
     for span, milliseconds, seeds in SLOW_SCENES:
         for seed in seeds:
-            scene = Scene(seconds=span[1] + 2, cut=span, slow=7.7, seed=seed, counter_ms=milliseconds)
-            seen = World(scene).play()
-            for tariff in TARIFFS:
-                share, stated = seen.cut[tariff.name], bound(tariff, span[1] - span[0], 2, scene.ingresses)
-                if share.overshoot > stated.overshoot or share.wrong > stated.wrong:
-                    passed.append((seed, milliseconds, tariff.name, share, stated))
+            scenario = Scenario(
+                seconds=span[1] + 2, outage=span, slowdown=7.7, seed=seed, counter_ms=milliseconds
+            )
+            result = LeaseSimulation(scenario).run()
+            for plan in PLANS:
+                deviation, stated = (
+                    result.during_outage[plan.name],
+                    deviation_bound(plan, span[1] - span[0], 2, scenario.ingresses),
+                )
+                if (
+                    deviation.overshoot > stated.overshoot
+                    or deviation.wrongly_refused > stated.wrongly_refused
+                ):
+                    passed.append((seed, milliseconds, plan.name, deviation, stated))
     assert not passed
 
 
 def test_today_s_way_passes_the_bounds_that_leases_keep() -> None:
-    seen = World(Scene(way="today", seconds=22.0, cut=CUT, slow=7.7)).play()
-    over = [seen.cut[t.name].overshoot > bound(t, CUT[1] - CUT[0], 2, 6).overshoot for t in TARIFFS]
+    result = LeaseSimulation(Scenario(mode="today", seconds=22.0, outage=CUT, slowdown=7.7)).run()
+    over = [
+        result.during_outage[plan.name].overshoot > deviation_bound(plan, CUT[1] - CUT[0], 2, 6).overshoot
+        for plan in PLANS
+    ]
     assert any(over)
 
 
 def test_leases_ask_the_counter_less_and_keep_the_quota() -> None:
-    calm = {"seconds": 16.0, "cut": (90.0, 91.0)}
-    today, leased = (World(Scene(way=way, **calm)).play() for way in ("today", "on"))  # type: ignore[arg-type]
-    assert leased.calls < 0.75 * today.calls
-    assert all(leased.rest[t.name].overshoot < 3.0 for t in TARIFFS)
+    calm = {"seconds": 16.0, "outage": (90.0, 91.0)}
+    today, leased = (LeaseSimulation(Scenario(mode=mode, **calm)).run() for mode in ("today", "on"))  # type: ignore[arg-type]
+    assert leased.counter_calls < 0.75 * today.counter_calls
+    assert all(leased.outside_outage[plan.name].overshoot < 3.0 for plan in PLANS)
 
 
 def test_a_replay_tells_what_was_beyond_and_what_was_refused_within() -> None:
-    tariff = Tariff("t", 1.0, 2.0, 1, 2)
+    plan = AccountPlan("t", 1.0, 2.0, 1, 2)
     when = [(0.0, True), (0.1, True), (0.2, True), (1.3, False), (1.4, True)]
-    told = replay([Verdict(t, 1, 1.0, sent) for t, sent in when], {1: tariff}, (0.0, 2.0))
-    assert (told[1].inside, told[1].beyond, told[1].ideal) == (3.0, 1.0, 3.0)
-    share = by_tariff(told, {1: tariff}, 2.0)["t"]
-    assert (share.overshoot, share.wrong, share.accounts) == (25.0, 0.0, 1)
+    usage = replay([QuotaDecision(t, 1, 1.0, sent) for t, sent in when], {1: plan}, (0.0, 2.0))
+    assert (usage[1].within_quota, usage[1].over_quota, usage[1].ideal) == (3.0, 1.0, 3.0)
+    deviation = deviation_by_plan(usage, {1: plan}, 2.0)["t"]
+    assert (deviation.overshoot, deviation.wrongly_refused, deviation.account_count) == (25.0, 0.0, 1)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from opalgauge.lab.replica_simulation import Scene, World
+from opalgauge.lab.replica_simulation import ReplicaSimulation, Scenario
 from opalgauge.memory.sealed import LONGEST
 from opalgauge.replica import messages
 from opalgauge.replica.clock import Clock
@@ -347,33 +347,40 @@
 SCENES: dict[str, dict[str, object]] = {
     "as in service": {},
     "half of the messages lost": {"drop": 0.5},
-    "late and out of order": {"delay": (0.002, 0.6), "twice": 0.5},
-    "one away for 60 s": {"cut": (5.0, 65.0, 1), "calm": 60.0, "seconds": 75.0},
-    "two halves": {"cut": (5.0, 20.0, 2), "calm": 18.0, "seconds": 30.0},
-    "clocks seconds apart": {"skew": 5.0},
+    "late and out of order": {"delay": (0.002, 0.6), "duplicate": 0.5},
+    "one away for 60 s": {"partition": (5.0, 65.0, 1), "changes_until": 60.0, "seconds": 75.0},
+    "two halves": {"partition": (5.0, 20.0, 2), "changes_until": 18.0, "seconds": 30.0},
+    "clocks seconds apart": {"clock_skew": 5.0},
     "restarts": {"restarts": ((9.0, 1), (11.0, 2), (11.1, 3))},
-    "forty": {"copies": 40, "seconds": 20.0, "calm": 10.0, "restarts": tuple((8.0, n) for n in range(20))},
+    "forty": {
+        "replicas": 40,
+        "seconds": 20.0,
+        "changes_until": 10.0,
+        "restarts": tuple((8.0, n) for n in range(20)),
+    },
 }
 
 
 @pytest.mark.parametrize("name", SCENES)
 def test_copies_are_equal_within_five_seconds_whatever_was_lost(name: str) -> None:
     for seed in (1, 2):
-        scene = Scene(seed=seed, **SCENES[name])  # type: ignore[arg-type]
-        seen = World(scene).play()
-        assert seen.equal_after is not None and seen.equal_after < 5.0
-        assert seen.most_said <= 100 and seen.longest_word <= LONGEST
-        assert len(seen.caught_up_after) == len(scene.restarts)
-        assert max(seen.caught_up_after, default=0.0) <= GIVE_UP.total_seconds() + 0.1
+        scenario = Scenario(seed=seed, **SCENES[name])  # type: ignore[arg-type]
+        result = ReplicaSimulation(scenario).run()
+        assert result.converged_after is not None and result.converged_after < 5.0
+        assert result.max_sent_per_second <= 100 and result.max_message_size <= LONGEST
+        assert len(result.catch_up_times) == len(scenario.restarts)
+        assert max(result.catch_up_times, default=0.0) <= GIVE_UP.total_seconds() + 0.1
 
 
 def test_where_half_of_the_messages_are_lost_late_and_overtaken_copies_are_equal_soon_every_time() -> None:
     late = []
     for seed in range(40):
-        scene = Scene(seconds=16.0, calm=6.0, changes=0.5, drop=0.5, delay=(0.002, 0.3), seed=seed)
-        seen = World(scene).play()
-        assert seen.equal_after is not None, seed
-        late.append(seen.equal_after)
+        scenario = Scenario(
+            seconds=16.0, changes_until=6.0, changes_per_second=0.5, drop=0.5, delay=(0.002, 0.3), seed=seed
+        )
+        result = ReplicaSimulation(scenario).run()
+        assert result.converged_after is not None, seed
+        late.append(result.converged_after)
     assert sorted(late)[20] < 2.0 and max(late) < 7.0
 
 
--- a/tests/test_replica_scenes.py
+++ b/tests/test_replica_scenes.py
@@ -7,22 +7,29 @@
 
 import pytest
 
-from opalgauge.lab.experiments import WORDS, copy_figures
-from opalgauge.lab.fleet import Plan, Result, play
+from opalgauge.lab.experiments import PEER_FAULTS, replica_figures
+from opalgauge.lab.fleet import Result, Scenario, run_scenario
 
 END = 14.0
-BASE = Plan(
-    ingresses=5, leave="off", replicate=True, work=0.01, rate=30.0, seconds=END, sample=0.2, schedule=WORDS
+BASE = Scenario(
+    ingresses=5,
+    zone_leave="off",
+    replicate=True,
+    mean_work=0.01,
+    rate=30.0,
+    seconds=END,
+    sample_interval=0.2,
+    schedule=PEER_FAULTS,
 )
 BANS = ((0.5, 0, "maint-on s-00"), (0.8, 1, "maint-on s-10"), (1.1, 2, "maint-on s-20"))
 
 
-def scene(plan: Plan) -> Result:
-    result = asyncio.run(play(plan))
-    assert result.lost == 0 and result.doubled == 0
-    told = copy_figures(result, plan)
+def scene(scenario: Scenario) -> Result:
+    result = asyncio.run(run_scenario(scenario))
+    assert result.lost == 0 and result.duplicates == 0
+    told = replica_figures(result, scenario)
     assert told["messages_per_s_max"] <= 100 and told["caught_up_before_ready"]
-    last = [doors for when, doors in result.samples if when > plan.seconds - 3.0]
+    last = [doors for when, doors in result.stats_samples if when > scenario.seconds - 3.0]
     assert any(len({d.get("replica.digest") for d in doors}) == 1 for doors in last)
     return result
 
@@ -47,12 +54,16 @@
 ) -> None:
     lift = ((6.5, 3, "maint-off s-10"),)  # by another one, whose clock may be behind
     ends = everywhere("maint-on s-00") + everywhere("maint-off s-10")
-    plan = replace(
-        BASE, schedule=f"{WORDS}\n{faults}", skews=skews, orders=BANS + lift + ends, restarts=((5.0, 1),)
+    scenario = replace(
+        BASE,
+        schedule=f"{PEER_FAULTS}\n{faults}",
+        clock_skews=skews,
+        admin_commands=BANS + lift + ends,
+        ingress_restarts=((5.0, 1),),
     )
-    result = scene(plan)
-    assert [a for a in result.answers[-10:] if not a.endswith("already")] == []
-    ((_, _, figures),) = result.at_ready
+    result = scene(scenario)
+    assert [a for a in result.admin_answers[-10:] if not a.endswith("already")] == []
+    ((_, _, figures),) = result.stats_at_ready
     assert figures["replica.caught_up"] == "1" and figures["replica.bans"] == "3"
 
 
@@ -66,20 +77,24 @@
         asked((me, "maint-off s-00"), (me, "maint-on s-01"), (me, "maint-on s-11"), (me, "maint-on s-20"))
         for me in (0, 2, 4)
     ]
-    result = scene(replace(BASE, schedule=f"{WORDS}\n{away}", orders=BANS + orders + sum(ends, ())))
-    assert [a for a in result.answers[-12:] if not a.endswith("already")] == []
+    result = scene(
+        replace(BASE, schedule=f"{PEER_FAULTS}\n{away}", admin_commands=BANS + orders + sum(ends, ()))
+    )
+    assert [a for a in result.admin_answers[-12:] if not a.endswith("already")] == []
 
 
 def test_garbage_and_a_flood_are_dropped_and_counted() -> None:
-    result = scene(replace(BASE, orders=BANS, garbage=((2.0, 0, 40), (2.5, 3, 600)), seconds=6.0))
-    dropped = [int(door["peers.words_dropped"]) for door in result.samples[-1][1]]
+    result = scene(
+        replace(BASE, admin_commands=BANS, garbage_datagrams=((2.0, 0, 40), (2.5, 3, 600)), seconds=6.0)
+    )
+    dropped = [int(door["peers.words_dropped"]) for door in result.stats_samples[-1][1]]
     # Of the flood the system itself drops what a busy ingress does not fetch in time.
     assert dropped[0] >= 40 and dropped[3] >= 100 and dropped[1] == 0
 
 
 def test_a_node_that_fails_is_known_as_bad_at_ingresses_that_hardly_met_it() -> None:
     cut = "1s hall-a.s-00 cut\n4s hall-a.s-00 heal"
-    result = scene(replace(BASE, schedule=f"{WORDS}\n{cut}", rate=20.0, seconds=6.0))
-    judged = [max(int(d.get("replica.judgements", 0)) for d in doors) for _, doors in result.samples]
+    result = scene(replace(BASE, schedule=f"{PEER_FAULTS}\n{cut}", rate=20.0, seconds=6.0))
+    judged = [max(int(d.get("replica.judgements", 0)) for d in doors) for _, doors in result.stats_samples]
     assert max(judged) >= 1
-    assert result.failed + result.refused <= 0.05 * result.asked
+    assert result.failed + result.refused <= 0.05 * result.requests
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from opalgauge.lab.zone_simulation import Scene, World
+from opalgauge.lab.zone_simulation import Scenario, ZoneSimulation
 from opalgauge.memory.effects import AttemptSeen
 from opalgauge.memory.sealed import LONGEST
 from opalgauge.zones import messages
@@ -153,14 +153,21 @@
 @pytest.mark.parametrize("drop", [0.5, 1.0])
 def test_five_who_hear_little_or_nothing_leave_a_zone_that_goes_every_time(drop: float) -> None:
     for seed in (1, 2, 3, 4, 24, 67, 69, 89):  # the last four: too few failures to tell, without trials
-        scene = Scene(
-            ingresses=5, nodes=3, rate=80.0, seconds=5.0, cold=4.0, cut=(1.5, 9.0), drop=drop, seed=seed
+        scenario = Scenario(
+            ingresses=5,
+            servers_per_zone=3,
+            rate=80.0,
+            seconds=5.0,
+            warm_up=4.0,
+            outage=(1.5, 9.0),
+            drop=drop,
+            seed=seed,
         )
-        world = World(scene)
-        seen = world.play()
-        assert len(seen.left) == 5 and max(seen.left) < 4.9, (seed, seen.left)
-        assert seen.last_try is not None and seen.first_failed is not None
-        assert seen.last_try - seen.first_failed < 2.0, seed
+        simulation = ZoneSimulation(scenario)
+        result = simulation.run()
+        assert len(result.left_at) == 5 and max(result.left_at) < 4.9, (seed, result.left_at)
+        assert result.last_attempt is not None and result.first_failure is not None
+        assert result.last_attempt - result.first_failure < 2.0, seed
 
 
 @pytest.mark.parametrize("sizes", [4, 12])
@@ -375,21 +382,21 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        {}, {"drop": 0.5}, {"drop": 1.0}, {"told": 25}, {"told": 100},
+        {}, {"drop": 0.5}, {"drop": 1.0}, {"stated_ingresses": 25}, {"stated_ingresses": 100},
         {"restarts": tuple((9.5 + n / 10, n) for n in range(20))},
     ],
     ids=["7.2% lost", "half lost", "all lost", "told half", "told double", "restarts in the ramp"],
 )  # fmt: skip
 def test_fifty_ingresses_return_within_what_cold_nodes_bear(changes: dict[str, object]) -> None:
-    seen = World(Scene(seconds=16.0, **changes)).play()  # type: ignore[arg-type]
-    assert seen.overload < 2.0 and seen.most_words <= 100
-    assert seen.unanswered == 0 and len(seen.left) >= 40
-    assert seen.served + seen.late > 0.93 * seen.asked
+    result = ZoneSimulation(Scenario(seconds=16.0, **changes)).run()  # type: ignore[arg-type]
+    assert result.max_overload < 2.0 and result.max_received_per_second <= 100
+    assert result.unanswered == 0 and len(result.left_at) >= 40
+    assert result.served + result.late > 0.93 * result.requests
     if changes.get("drop") != 1.0 and changes.get("told") != 25:
-        assert seen.last_try is not None and seen.first_failed is not None
-        assert seen.last_try - seen.first_failed < 2.5
+        assert result.last_attempt is not None and result.first_failure is not None
+        assert result.last_attempt - result.first_failure < 2.5
 
 
 def test_without_the_part_a_cut_zone_is_tried_all_the_time() -> None:
-    seen = World(Scene(seconds=10.0, leave=False)).play()
-    assert seen.last_try is not None and seen.last_try > 8.5
+    result = ZoneSimulation(Scenario(seconds=10.0, leave_zones=False)).run()
+    assert result.last_attempt is not None and result.last_attempt > 8.5
