--- /dev/null
+++ b/opalgauge/lab/skewed_clock.py
@@ -0,0 +1,27 @@
+"""Starts the command line with a clock that is off:
+`python -m opalgauge.lab.skewed_clock SECONDS serve …`."""
+
+from __future__ import annotations
+
+import sys
+from datetime import timedelta
+
+from opalgauge.lifecycle.clock import Clock
+
+
+def main() -> None:
+    skew = timedelta(seconds=float(sys.argv.pop(1)))
+    original_init = Clock.__init__
+
+    def skewed_init(self: Clock) -> None:
+        original_init(self)
+        self.anchor += skew
+
+    Clock.__init__ = skewed_init  # type: ignore[method-assign]
+    from opalgauge.cli.main import main as command
+
+    command()
+
+
+if __name__ == "__main__":
+    main()
