--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -191,7 +191,7 @@
             core = self.me  # guards an order against an owner that has just gone; its part here is small
         self.total += 1
         if len(self.counts) < MOST_COUNTED:
-            key = event.account, event.plan_index, event.spread
+            key = event.account, event.plan_index, event.account_gateways
             self.counts[key] = self.counts.get(key, 0) + 1
         handler.ordered = True
         consumed = UNSURE if handler._messages else handler.came_in
@@ -209,8 +209,8 @@
     def _own_part(self, event: ev.RequestReceived) -> None:
         now = self.clock.now()
         held = self.shares.held(event.account, now)
-        event.exclusive_seconds = math.inf if held is None else held.total_seconds()
-        event.deciding_workers = self.shares.parts(event.account, now)
+        event.exclusive_for = math.inf if held is None else held.total_seconds()
+        event.account_workers = self.shares.parts(event.account, now)
 
     def _order_over(self, order: int) -> None:
         """No client waits for it: it was answered, or its client left."""
@@ -237,7 +237,8 @@
             sp.Pass(
                 t.request_id, place[1], place[2], until, e.method, e.target, e.correlation_id,
                 list(e.headers),
-                e.body, t.class_index, t.plan_index, t.account, t.units, t.spread, t.first, t.is_retry,
+                e.body, t.class_index, t.plan_index, t.account, t.units, t.account_gateways,
+                t.first_gateway, t.is_retry,
             )
         )  # fmt: skip
 
--- a/opalgauge/leases/channel.py
+++ b/opalgauge/leases/channel.py
@@ -48,7 +48,9 @@
             self.timer.cancel()
 
     def met(self, effect: ReportAccount) -> None:
-        self.leases.met(effect.account, effect.plan_index, effect.spread, effect.first, self.now())
+        self.leases.met(
+            effect.account, effect.plan_index, effect.account_gateways, effect.first_gateway, self.now()
+        )
 
     def asked(self, effect: AskLeaseHolder) -> None:
         self.leases.asked(effect.name, effect.amount, effect.ttl, self.now())
--- a/opalgauge/memory/effects.py
+++ b/opalgauge/memory/effects.py
@@ -200,7 +200,7 @@
     zone: int
     class_index: int
     end: End | None = None
-    took: timedelta = timedelta(0)
+    duration: timedelta = timedelta(0)
 
 
 @dataclass(slots=True)
@@ -216,8 +216,8 @@
 
     account: int
     plan_index: int
-    spread: int
-    first: int
+    account_gateways: int
+    first_gateway: int
 
 
 @dataclass(slots=True)
--- a/opalgauge/memory/events.py
+++ b/opalgauge/memory/events.py
@@ -54,12 +54,12 @@
     account: int
     time_left: timedelta
     units: float
-    spread: int
-    first: int
+    account_gateways: int
+    first_gateway: int
     is_retry: bool
     client_id: int  # the connection that it came over
-    deciding_workers: int = 1  # see `starlinggap.interface.Request`
-    exclusive_seconds: float = math.inf
+    account_workers: int = 1  # see `starlinggap.interface.Request`
+    exclusive_for: float = math.inf
 
 
 @dataclass(slots=True)
@@ -363,7 +363,7 @@
 
     name: int
     total: float
-    took: timedelta
+    duration: timedelta
     end: End = End.OK
 
 
--- a/opalgauge/memory/reducer.py
+++ b/opalgauge/memory/reducer.py
@@ -179,14 +179,16 @@
         if budget is not None:
             if self.config.uses_leases:
                 self.effects.append(
-                    effects.ReportAccount(event.account, event.plan_index, event.spread, event.first)
+                    effects.ReportAccount(
+                        event.account, event.plan_index, event.account_gateways, event.first_gateway
+                    )
                 )
             self.gateway_events.append(
                 interface.Request(
                     event.request_id, event.class_index, event.plan_index, event.account,
                     budget.total_seconds(),
-                    event.units, event.spread, event.first, event.is_retry,
-                    event.deciding_workers * self.state.process_count, event.exclusive_seconds,
+                    event.units, event.account_gateways, event.first_gateway, event.is_retry,
+                    event.account_workers * self.state.process_count, event.exclusive_for,
                     event.http_request.has_more_body,
                 )
             )  # fmt: skip
@@ -585,11 +587,11 @@
         units: float | None = None,
     ) -> None:
         """The decisions hear how an attempt or a probe ended, once."""
-        took = (self.now - attempt.started).total_seconds()
+        duration = (self.now - attempt.started).total_seconds()
         if self.config.watches_zones:
             self._report_attempt(attempt, 0, end)
         if attempt.is_probe:
-            self.gateway_events.append(interface.Probed(attempt.server_id, end, took, load or {}))
+            self.gateway_events.append(interface.Probed(attempt.server_id, end, duration, load or {}))
             return
         was_open = self.state.attempts.pop((attempt.request_id, attempt.number), None) is not None
         request = self.state.requests.get(attempt.request_id)
@@ -601,7 +603,7 @@
             request.timed_out = end is interface.End.TIMEOUT
         self.gateway_events.append(
             interface.Outcome(
-                attempt.request_id, attempt.number, attempt.server_id, end, took, request is None, None,
+                attempt.request_id, attempt.number, attempt.server_id, end, duration, request is None, None,
                 units, load or {}
             )
         )  # fmt: skip
@@ -624,9 +626,9 @@
         """Tells whoever judges zones; a node that is listed no more says nothing of one."""
         if server := self.state.servers.get(attempt.server_id):
             key = (0, attempt.server_id) if attempt.is_probe else (attempt.request_id, attempt.number)
-            took = self.now - attempt.started
+            duration = self.now - attempt.started
             self.effects.append(
-                effects.ReportAttempt(key, attempt.server_id, server.entry.zone, class_index, end, took)
+                effects.ReportAttempt(key, attempt.server_id, server.entry.zone, class_index, end, duration)
             )
 
     def _zone_share_changed(self, event: events.ZoneShareChanged) -> None:
@@ -905,7 +907,7 @@
 
     def _lease_holder_answered(self, event: events.LeaseHolderAnswered) -> None:
         self.gateway_events.append(
-            interface.Counted(event.name, event.took.total_seconds(), event.end, event.total)
+            interface.Counted(event.name, event.duration.total_seconds(), event.end, event.total)
         )
 
     def _counter_call_requested(self, event: events.CounterCallRequested) -> None:
@@ -950,8 +952,8 @@
             if call.token:
                 self.effects.append(effects.ReportCounterResult(call.token, end, total))
                 return
-            took = (self.now - call.called_at).total_seconds()
-            self.gateway_events.append(interface.Counted(call.name, took, end, total))
+            duration = (self.now - call.called_at).total_seconds()
+            self.gateway_events.append(interface.Counted(call.name, duration, end, total))
 
     def _counter_call_timed_out(self, connection: Connection, call: CounterCall) -> None:
         if call.answered:
--- a/opalgauge/zones/watch.py
+++ b/opalgauge/zones/watch.py
@@ -134,7 +134,7 @@
         zone = effect.zone
         if zone >= len(self.places):
             return
-        place, begun, trial = self.places[zone], now - effect.took, effect.key[0] == 0
+        place, begun, trial = self.places[zone], now - effect.duration, effect.key[0] == 0
         if effect.end is None:
             if not trial and (place.state is not State.LEFT or not self.rules.acts):
                 place.last_try = now
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -18,19 +18,20 @@
 
 import uvloop
 
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
+from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
 from opalgauge.wire.clients import Clients, Trade
 from opalgauge.wire.exchange import Exchange
 from opalgauge.wire.line import LineProtocol
 from opalgauge.wire.node_list import NodeListReader, read_nodes
-from starlinggap import interface as i
+from starlinggap import interface
 from tests import harness
-from tests.reducer_rig import SETTINGS, START, house
+from tests.reducer_rig import SETTINGS, START, ingress_config
 
 MS = timedelta(milliseconds=1)
-ALONE = replace(SETTINGS, counter=False)  # no counter: nothing stands between a request and its attempt
+SETTINGS_WITHOUT_COUNTER = replace(
+    SETTINGS, counter=False
+)  # no counter: nothing stands between a request and its attempt
 
 
 class GatedExchange(Exchange):
@@ -41,69 +42,69 @@
         self.gate = asyncio.Event()
         self.gate.set()
 
-    async def _dial(self, effect: fx.OpenConnection, line: LineProtocol) -> None:
+    async def _dial(self, effect: effects.OpenConnection, connection: LineProtocol) -> None:
         try:
             await self.gate.wait()
         except asyncio.CancelledError:
             self.dials.pop(effect.connection_id, None)
             raise
-        await super()._dial(effect, line)
+        await super()._dial(effect, connection)
 
 
 @dataclass
-class Peer:
+class StandInConnection:
     """One connection that the ingress opened, in the hands of the test."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
-    async def request(self) -> bytes:
+    async def read_request(self) -> bytes:
         return await asyncio.wait_for(harness.read_request(self.reader), 20)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.writer.write(data)
 
     def reset(self) -> None:
         """Ends it as a close over unread bytes does."""
-        held = self.writer.get_extra_info("socket")
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock = self.writer.get_extra_info("socket")
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
-    async def ended(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """What came up to the connection's end."""
         with contextlib.suppress(ConnectionError):
             return await asyncio.wait_for(self.reader.read(), 20)
         return b""
 
 
-class Party:
+class StandIn:
     """A listening stand-in: its connections come out of `peers` in the order in which they were opened."""
 
     def __init__(self) -> None:
-        self.peers: asyncio.Queue[Peer] = asyncio.Queue()
-        self.all: list[Peer] = []
+        self.new_connections: asyncio.Queue[StandInConnection] = asyncio.Queue()
+        self.all_connections: list[StandInConnection] = []
         self.server: asyncio.Server | None = None
         self.address = ""
 
-    async def open(self) -> Party:
-        async def came(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            peer = Peer(reader, writer)
-            self.all.append(peer)
-            self.peers.put_nowait(peer)
+    async def start(self) -> StandIn:
+        async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            connection = StandInConnection(reader, writer)
+            self.all_connections.append(connection)
+            self.new_connections.put_nowait(connection)
 
-        self.server = await asyncio.start_server(came, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(accept, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
         return self
 
-    async def peer(self) -> Peer:
-        return await asyncio.wait_for(self.peers.get(), 20)
+    async def next_connection(self) -> StandInConnection:
+        return await asyncio.wait_for(self.new_connections.get(), 20)
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for peer in self.all:
-            peer.writer.close()
+        for connection in self.all_connections:
+            connection.writer.close()
 
 
 @dataclass
@@ -112,29 +113,29 @@
 
     exchange: GatedExchange
     clients: Clients
-    nodes: list[Party]
-    node_list: Party
+    servers: list[StandIn]
+    server_list: StandIn
     log: list[str] = field(default_factory=list)
     now: datetime = START
-    left: bool = False
-    counter: Party | None = None
+    exited: bool = False
+    counter: StandIn | None = None
 
     @property
-    def books(self) -> Any:
+    def state(self) -> Any:
         return self.exchange.reducer.state
 
-    def pass_time(self, span: timedelta) -> None:
+    def pass_time(self, duration: timedelta) -> None:
         """Time moves on; what is due by then happens."""
-        self.now += span
-        self.exchange.report(ev.WakeUpDue())
+        self.now += duration
+        self.exchange.report(events.WakeUpDue())
 
-    async def client(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def connect_client(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         assert self.clients.listener is not None
         return await asyncio.open_connection(*self.clients.listener.address)
 
-    async def ask(self, data: bytes) -> asyncio.Task[bytes]:
+    async def send_request(self, data: bytes) -> asyncio.Task[bytes]:
         """Sends a request on a connection of its own; the task gives its answer."""
-        reader, writer = await self.client()
+        reader, writer = await self.connect_client()
         writer.write(data)
 
         async def answer() -> bytes:
@@ -145,89 +146,109 @@
 
         return asyncio.create_task(answer())
 
-    def listed(self, number: int, health: str = "in_service", born: int = 0, at: str = "") -> dict[str, Any]:
-        return {"host": f"s-{number}", "dial": at or self.nodes[number].address, "site": "", "class": "",
-                "block": 0, "health": health, "share": 1.0, "born_ms": born}  # fmt: skip
+    def list_entry(
+        self, number: int, health: str = "in_service", started_ms: int = 0, address: str = ""
+    ) -> dict[str, Any]:
+        return {
+            "host": f"s-{number}", "dial": address or self.servers[number].address, "site": "", "class": "",
+            "block": 0, "health": health, "share": 1.0, "born_ms": started_ms,
+        }  # fmt: skip
 
 
-async def until(what: Callable[[], Any]) -> None:
+async def wait_until(condition: Callable[[], Any]) -> None:
     """Lets the loop turn until something holds; fails where it never does."""
 
-    async def turn() -> None:
-        while not what():
+    async def poll() -> None:
+        while not condition():
             await asyncio.sleep(0)
 
-    await asyncio.wait_for(turn(), 20)
+    await asyncio.wait_for(poll(), 20)
 
 
 @contextlib.asynccontextmanager
-async def scene(nodes: int = 1, settings: i.Settings = ALONE, **changes: Any) -> AsyncIterator[Scene]:
+async def scene(
+    server_count: int = 1, settings: interface.Settings = SETTINGS_WITHOUT_COUNTER, **changes: Any
+) -> AsyncIterator[Scene]:
     """Where the settings have a counter, it is a party, too."""
-    parties = [await Party().open() for _ in range(nodes)]
-    node_list = await Party().open()
-    counter = await Party().open() if settings.counter else None
+    servers = [await StandIn().start() for _ in range(server_count)]
+    server_list = await StandIn().start()
+    counter = await StandIn().start() if settings.counter else None
     if counter is not None:
         changes["counter_address"] = counter.address
     reader = NodeListReader(())
-    here: list[Scene] = []
+    scenes: list[Scene] = []
     log: list[str] = []
 
     def leave() -> None:
-        here[0].left = True
+        scenes[0].exited = True
 
     known = read_nodes(
-        [{"host": f"s-{n}", "dial": p.address, "health": "in_service"} for n, p in enumerate(parties)], ()
+        [{"host": f"s-{n}", "dial": p.address, "health": "in_service"} for n, p in enumerate(servers)], ()
     )
     reducer = Reducer(
-        house(settings=settings, known_servers=known, server_list_address=node_list.address, **changes)
+        ingress_config(
+            settings=settings, known_servers=known, server_list_address=server_list.address, **changes
+        )
     )
-    exchange = GatedExchange(reducer, lambda: here[0].now if here else START, reader, log.append, leave)
-    kinds = [("stock-check", True), ("place-order", False)][: len(settings.classes)]
-    clients = exchange.clients = Clients(Trade(kinds, ["negoce"], 3.0, 2), exchange.report, lambda: True)
-    here.append(Scene(exchange, clients, parties, node_list, log, counter=counter))
+    exchange = GatedExchange(reducer, lambda: scenes[0].now if scenes else START, reader, log.append, leave)
+    class_names = [("stock-check", True), ("place-order", False)][: len(settings.classes)]
+    clients = exchange.clients = Clients(
+        Trade(class_names, ["negoce"], 3.0, 2), exchange.report, lambda: True
+    )
+    scenes.append(Scene(exchange, clients, servers, server_list, log, counter=counter))
     await clients.listen("127.0.0.1", 0)
     exchange.start()
     try:
-        yield here[0]
+        yield scenes[0]
     finally:
         exchange.gate.set()
         clients.stop_listening()
-        for line in list(exchange.lines.values()):
-            line.end()
+        for connection in list(exchange.lines.values()):
+            connection.end()
         await clients.server.shutdown(timeout=0.1)
-        for party in (*parties, node_list, *([counter] if counter is not None else ())):
-            party.close()
+        for stand_in in (*servers, server_list, *([counter] if counter is not None else ())):
+            stand_in.close()
         if exchange.timer is not None:
             exchange.timer.cancel()
 
 
-async def first(here: Scene) -> tuple[int, Peer]:
+async def first_connection(scene: Scene) -> tuple[int, StandInConnection]:
     """The stock node that gets the next connection, and that."""
-    ready = [asyncio.create_task(party.peer()) for party in here.nodes]
-    done, late = await asyncio.wait(ready, return_when=asyncio.FIRST_COMPLETED)
-    for task in late:
+    waiting = [asyncio.create_task(stand_in.next_connection()) for stand_in in scene.servers]
+    done, pending = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
+    for task in pending:
         task.cancel()
-    number = next(n for n, task in enumerate(ready) if task in done)
-    return number, ready[number].result()
+    number = next(n for n, task in enumerate(waiting) if task in done)
+    return number, waiting[number].result()
 
 
-def check(name: str, left: str = "1.0") -> bytes:
-    return harness.request("GET", "/stock-check", left=left, name=name)
+def check_request(name: str, time_left: str = "1.0") -> bytes:
+    return harness.request("GET", "/stock-check", left=time_left, name=name)
 
 
-def place(name: str) -> bytes:
+def place_request(name: str) -> bytes:
     return harness.request("POST", "/place-order", left="2.0", name=name)
 
 
-def tell(watch: Peer, seq: object, *hosts: object, whole: object = False, indent: int | None = None) -> None:
+def answer_list(
+    connection: StandInConnection,
+    version: object,
+    *entries: object,
+    is_complete: object = False,
+    indent: int | None = None,
+) -> None:
     """The node list's answer to a watch."""
-    watch.say(told(json.dumps({"seq": seq, "whole": whole, "hosts": hosts}, indent=indent).encode()))
+    connection.send(
+        ok_response(
+            json.dumps({"seq": version, "whole": is_complete, "hosts": entries}, indent=indent).encode()
+        )
+    )
 
 
-def play(what: Callable[[], Awaitable[None]]) -> None:
+def run_scene(scenario: Callable[[], Awaitable[None]]) -> None:
     """On the loop that the program runs on: loops differ in what they read and tell in one turn."""
-    uvloop.run(asyncio.wait_for(what(), 60))
+    uvloop.run(asyncio.wait_for(scenario(), 60))
 
 
-def told(body: bytes) -> bytes:
+def ok_response(body: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
--- a/tests/reducer_rig.py
+++ b/tests/reducer_rig.py
@@ -5,20 +5,19 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
+from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
 from opalgauge.memory.state import IngressConfig
-from starlinggap import interface as i
+from starlinggap import interface
 
 CHECK, PLACE = 0, 1
 START = datetime(2026, 12, 1, 6, 0, tzinfo=UTC)
-SETTINGS = i.Settings(
+SETTINGS = interface.Settings(
     classes=(
-        i.RequestClass(aim=0.4, deadline=1.2, worth=2.0),
-        i.RequestClass(aim=0.8, deadline=3.0, worth=5.0, effect=i.Effect.UNSAFE),
+        interface.RequestClass(aim=0.4, deadline=1.2, worth=2.0),
+        interface.RequestClass(aim=0.8, deadline=3.0, worth=5.0, effect=interface.Effect.UNSAFE),
     ),
-    plans=(i.Plan(rate=25.0, burst=30.0),),
+    plans=(interface.Plan(rate=25.0, burst=30.0),),
     gateways=2,
     tick=0.002,
     most_units=3.0,
@@ -32,120 +31,141 @@
 )
 
 
-def node(number: int, health: i.Health = i.Health.READY, started: float = 0.0) -> ev.ListedServer:
-    return ev.ListedServer(f"127.0.0.1:{5000 + number}", i.ServerEntry(number, health, started=started))
+def listed_server(
+    number: int, health: interface.Health = interface.Health.READY, started: float = 0.0
+) -> events.ListedServer:
+    return events.ListedServer(
+        f"127.0.0.1:{5000 + number}", interface.ServerEntry(number, health, started=started)
+    )
 
 
-def house(nodes: int = 3, **changes: Any) -> IngressConfig:
-    told: dict[str, Any] = {
+def ingress_config(server_count: int = 3, **changes: Any) -> IngressConfig:
+    defaults: dict[str, Any] = {
         "settings": SETTINGS, "seed": 5, "counter_address": "127.0.0.1:6400",
         "server_list_address": "127.0.0.1:8500", "known_list_version": 7,
-        "known_servers": tuple(node(n) for n in range(1, nodes + 1)),
+        "known_servers": tuple(listed_server(n) for n in range(1, server_count + 1)),
         "dial_timeout": timedelta(milliseconds=250),
         "server_idle_timeout": timedelta(seconds=9), "counter_timeout": timedelta(milliseconds=80),
         "max_server_connections": 400, "max_requests": 400, "max_clients": 400, "keep_alive_limit": 133,
     }  # fmt: skip
-    return IngressConfig(**{**told, **changes})
+    return IngressConfig(**{**defaults, **changes})
 
 
 class ReducerRig:
     def __init__(self, **changes: Any) -> None:
-        self.reducer = Reducer(house(**changes))
+        self.reducer = Reducer(ingress_config(**changes))
         self.now = START
-        self.out: list[fx.Effect] = list(self.reducer.start(self.now))
+        self.effects: list[effects.Effect] = list(self.reducer.start(self.now))
         self.seen = 0
-        self.number = 0
-        self.up: set[int] = set()
-        self.bring_up()
+        self.last_request_id = 0
+        self.opened: set[int] = set()
+        self.open_connections()
 
-    def step(self, event: ev.Event) -> None:
-        self.out += self.reducer.step(event, self.now)
+    def step(self, event: events.Event) -> None:
+        self.effects += self.reducer.step(event, self.now)
 
-    def pass_time(self, span: timedelta) -> None:
+    def pass_time(self, duration: timedelta) -> None:
         """Time goes by, with every wake-up on the way."""
-        until = self.now + span
+        until = self.now + duration
         while self.reducer.timers and self.reducer.timers[0][0] <= until:
             self.now = max(self.now, self.reducer.timers[0][0])
-            self.step(ev.WakeUpDue())
+            self.step(events.WakeUpDue())
         self.now = until
 
-    def settle(self) -> None:
+    def wait_until_reusable(self) -> None:
         """So long that a connection which has brought an answer may be used again."""
         self.pass_time(self.reducer.config.reuse_delay)
 
-    def bring_up(self) -> None:
+    def open_connections(self) -> None:
         """Every connection asked for comes up."""
-        for effect in list(self.out):
-            if isinstance(effect, fx.OpenConnection) and effect.connection_id not in self.up:
-                self.up.add(effect.connection_id)
-                self.step(ev.ConnectionOpened(effect.connection_id))
+        for effect in list(self.effects):
+            if isinstance(effect, effects.OpenConnection) and effect.connection_id not in self.opened:
+                self.opened.add(effect.connection_id)
+                self.step(events.ConnectionOpened(effect.connection_id))
 
-    def bring_up_list(self) -> None:
+    def open_list_connection(self) -> None:
         """The connection for the node list comes up, and no other."""
-        for effect in list(self.out):
-            if isinstance(effect, fx.OpenConnection) and effect.destination is fx.Destination.SERVER_LIST:
-                if effect.connection_id not in self.up:
-                    self.up.add(effect.connection_id)
-                    self.step(ev.ConnectionOpened(effect.connection_id))
+        for effect in list(self.effects):
+            if (
+                isinstance(effect, effects.OpenConnection)
+                and effect.destination is effects.Destination.SERVER_LIST
+            ):
+                if effect.connection_id not in self.opened:
+                    self.opened.add(effect.connection_id)
+                    self.step(events.ConnectionOpened(effect.connection_id))
 
     def next_version(self) -> int:
         return (self.reducer.state.list_version or 0) + 1
 
-    def order(
+    def request(
         self,
-        kind: int,
+        class_index: int,
         units: float = 1.0,
         account: int = 42,
-        left: timedelta = timedelta(seconds=2),
+        time_left: timedelta = timedelta(seconds=2),
     ) -> int:
-        self.number += 1
-        method, target = ("GET", "/stock-check") if kind == CHECK else ("POST", "/place-order")
-        errand = ev.HttpRequest(method, target, f"id-{self.number}", (), b"")
+        self.last_request_id += 1
+        method, target = ("GET", "/stock-check") if class_index == CHECK else ("POST", "/place-order")
+        http_request = events.HttpRequest(method, target, f"id-{self.last_request_id}", (), b"")
         self.step(
-            ev.RequestReceived(self.number, errand, kind, 0, account, left, units, 2, 0, False, self.number)
+            events.RequestReceived(
+                self.last_request_id,
+                http_request,
+                class_index,
+                0,
+                account,
+                time_left,
+                units,
+                2,
+                0,
+                False,
+                self.last_request_id,
+            )
         )
-        self.bring_up()
-        return self.number
+        self.open_connections()
+        return self.last_request_id
 
-    def counter_call(self) -> fx.CallCounter:
-        return [e for e in self.out if isinstance(e, fx.CallCounter)][-1]
+    def last_counter_call(self) -> effects.CallCounter:
+        return [e for e in self.effects if isinstance(e, effects.CallCounter)][-1]
 
-    def count(self, total: float) -> None:
-        self.step(ev.CounterAnswered(self.counter_call().connection_id, i.End.OK, total, True))
-        self.bring_up()
+    def answer_counter(self, total: float) -> None:
+        self.step(
+            events.CounterAnswered(self.last_counter_call().connection_id, interface.End.OK, total, True)
+        )
+        self.open_connections()
 
-    def read_last_window(self) -> None:
-        if self.counter_call().amount == 0.0:
-            self.count(total=0.0)
+    def answer_last_window(self) -> None:
+        if self.last_counter_call().amount == 0.0:
+            self.answer_counter(total=0.0)
 
-    def admit(self, kind: int) -> int:
+    def admit(self, class_index: int) -> int:
         """An order of an account of its own, let in and sent on."""
-        number = self.order(kind, account=1000 + self.number)
-        self.count(total=1.0)
-        self.read_last_window()
-        return number
+        request_id = self.request(class_index, account=1000 + self.last_request_id)
+        self.answer_counter(total=1.0)
+        self.answer_last_window()
+        return request_id
 
-    def attempt(self) -> fx.SendAttempt:
-        return [e for e in self.out if isinstance(e, fx.SendAttempt)][-1]
+    def last_attempt(self) -> effects.SendAttempt:
+        return [e for e in self.effects if isinstance(e, effects.SendAttempt)][-1]
 
-    def list_questions(self) -> list[fx.AskServerList]:
-        return [e for e in self.out if isinstance(e, fx.AskServerList)]
+    def list_requests(self) -> list[effects.AskServerList]:
+        return [e for e in self.effects if isinstance(e, effects.AskServerList)]
 
-    def list_question(self) -> fx.AskServerList:
-        return self.list_questions()[-1]
+    def last_list_request(self) -> effects.AskServerList:
+        return self.list_requests()[-1]
 
     @property
-    def answers(self) -> list[fx.AnswerClient]:
-        return [e for e in self.out if isinstance(e, fx.AnswerClient)]
+    def answers(self) -> list[effects.AnswerClient]:
+        return [e for e in self.effects if isinstance(e, effects.AnswerClient)]
 
-    def listen(self) -> list[i.Event]:
+    def record_gateway_events(self) -> list[interface.Event]:
         """All that the decisions hear from now on."""
-        heard: list[i.Event] = []
-        real = self.reducer.gateway.handle
+        recorded: list[interface.Event] = []
+        handle_really = self.reducer.gateway.handle
 
-        def handle(now: float, events: list[i.Event]) -> list[i.Action]:
-            heard.extend(events)
-            return real(now, events)
+        def handle(now: float, events: list[interface.Event]) -> list[interface.Action]:
+            recorded.extend(events)
+            return handle_really(now, events)
 
         self.reducer.gateway.handle = handle  # type: ignore[method-assign]
-        return heard
+        return recorded
--- a/tests/test_client_lines.py
+++ b/tests/test_client_lines.py
@@ -11,16 +11,16 @@
 
 
 def closed(rig: ReducerRig) -> list[int]:
-    return [e.client_id for e in rig.out if isinstance(e, fx.CloseClient)]
+    return [e.client_id for e in rig.effects if isinstance(e, fx.CloseClient)]
 
 
 def asked(rig: ReducerRig) -> int:
     """A client that has asked and has its answer."""
-    rig.step(ev.ClientConnected(rig.number + 1))
-    client = rig.order(CHECK, account=1000 + rig.number)
-    rig.count(total=1.0)
-    rig.read_last_window()
-    rig.step(ev.ServerAnswered(rig.attempt().connection_id, i.End.OK, True, b""))
+    rig.step(ev.ClientConnected(rig.last_request_id + 1))
+    client = rig.request(CHECK, account=1000 + rig.last_request_id)
+    rig.answer_counter(total=1.0)
+    rig.answer_last_window()
+    rig.step(ev.ServerAnswered(rig.last_attempt().connection_id, i.End.OK, True, b""))
     return client
 
 
@@ -46,9 +46,9 @@
 def test_a_client_that_waits_for_its_answer_is_not_closed() -> None:
     rig = ReducerRig()
     rig.step(ev.ClientConnected(1))
-    assert rig.order(CHECK, left=timedelta(seconds=8)) == 1
-    rig.count(total=1.0)
-    rig.read_last_window()
+    assert rig.request(CHECK, time_left=timedelta(seconds=8)) == 1
+    rig.answer_counter(total=1.0)
+    rig.answer_last_window()
     rig.pass_time(timedelta(milliseconds=1150))
     assert not closed(rig) and not rig.answers
 
@@ -84,9 +84,9 @@
     asked(rig)
     assert rig.answers[-1].close_connection
     # One that is used again is left alone.
-    rig.number = 0
-    rig.order(CHECK, account=2000)
-    rig.count(total=1.0)
-    rig.read_last_window()
-    rig.step(ev.ServerAnswered(rig.attempt().connection_id, i.End.OK, True, b""))
+    rig.last_request_id = 0
+    rig.request(CHECK, account=2000)
+    rig.answer_counter(total=1.0)
+    rig.answer_last_window()
+    rig.step(ev.ServerAnswered(rig.last_attempt().connection_id, i.End.OK, True, b""))
     assert rig.answers[-1].request_id == 1 and not rig.answers[-1].close_connection
--- a/tests/test_client_states.py
+++ b/tests/test_client_states.py
@@ -9,183 +9,212 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
+from opalgauge.memory import effects, events
 from opalgauge.memory.drain import ANSWER_MARGIN, EXIT_MARGIN, min_time_to_kill
 from starlinggap.interface import End
 from tests.reducer_rig import CHECK, PLACE, SETTINGS, START, ReducerRig
 
 
-class State(Enum):
+class ClientState(Enum):
     """As docs/architecture.md has them; one that has ended, or was told to, is not kept."""
 
-    SILENT = "silent"
-    ARRIVING = "arriving"
-    BODY = "body"
-    ASKING = "asking"
-    KEPT = "kept"
+    NEW = "silent"
+    SENDING_HEAD = "arriving"
+    SENDING_BODY = "body"
+    WAITING = "asking"
+    IDLE = "kept"
 
 
-QUIET = (State.SILENT, State.ARRIVING, State.KEPT)  # those that may be closed: nothing is owed over them
+# Those that may be closed: nothing is owed over them.
+CLOSABLE = (ClientState.NEW, ClientState.SENDING_HEAD, ClientState.IDLE)
 
 
 class ClientConnections(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.rig = ReducerRig(max_clients=6, keep_alive_limit=4, counter_address="")
-        self.model: dict[int, State] = {}
-        self.orders: dict[int, int] = {}  # open orders, and whose
-        self.draining = self.grace_over = False
-        self.kill = START
-        self.came = self.read = 0
-        self.follow()
-
-    def follow(self) -> None:
+        self.model: dict[int, ClientState] = {}
+        self.open_requests: dict[int, int] = {}  # open orders, and whose
+        self.draining = self.idle_closed = False
+        self.kill_at = START
+        self.client_count = self.effects_read = 0
+        self.follow_effects()
+
+    def follow_effects(self) -> None:
         """Moves the model by the effects alone; an effect that its state forbids fails."""
-        while self.read < len(self.rig.out):
-            effect = self.rig.out[self.read]
-            self.read += 1
-            if isinstance(effect, fx.CloseClient):
-                assert self.model.pop(effect.client_id) in QUIET, "closed while something is owed over it"
-            elif isinstance(effect, fx.AnswerClient):
-                client = self.orders.pop(effect.request_id)
-                assert self.model[client] is State.ASKING
+        while self.effects_read < len(self.rig.effects):
+            effect = self.rig.effects[self.effects_read]
+            self.effects_read += 1
+            if isinstance(effect, effects.CloseClient):
+                assert self.model.pop(effect.client_id) in CLOSABLE, "closed while something is owed over it"
+            elif isinstance(effect, effects.AnswerClient):
+                client_id = self.open_requests.pop(effect.request_id)
+                assert self.model[client_id] is ClientState.WAITING
                 assert effect.close_connection or not self.draining, "a leaving ingress keeps a connection"
-                self.model[client] = State.KEPT
-            elif isinstance(effect, fx.Exit):
-                assert self.draining and not self.orders, "it leaves while an answer is owed"
-                late = self.rig.now >= self.kill - EXIT_MARGIN
-                assert not self.has(State.BODY) or late, "it leaves a body half read"
-                assert not self.has(State.ARRIVING) or late, "it leaves a request half read"
-            elif isinstance(effect, fx.StopReadingBodies):
+                self.model[client_id] = ClientState.IDLE
+            elif isinstance(effect, effects.Exit):
+                assert self.draining and not self.open_requests, "it leaves while an answer is owed"
+                late = self.rig.now >= self.kill_at - EXIT_MARGIN
+                assert not self.has_any(ClientState.SENDING_BODY) or late, "it leaves a body half read"
+                assert not self.has_any(ClientState.SENDING_HEAD) or late, "it leaves a request half read"
+            elif isinstance(effect, effects.StopReadingBodies):
                 # As the wire does: what has not come whole is answered at once.
-                for client in [n for n, s in self.model.items() if s is State.BODY]:
-                    self.model[client] = State.KEPT
-                    self.rig.step(ev.RequestDiscarded(client))
-
-    def step(self, event: ev.Event) -> None:
+                for client_id in [
+                    sending
+                    for sending, client_state in self.model.items()
+                    if client_state is ClientState.SENDING_BODY
+                ]:
+                    self.model[client_id] = ClientState.IDLE
+                    self.rig.step(events.RequestDiscarded(client_id))
+
+    def step(self, event: events.Event) -> None:
         self.rig.step(event)
-        for n in range(self.read, 10**9):  # the counter's calls and their answers' own
-            if n == len(self.rig.out):
+        for position in range(self.effects_read, 10**9):  # the counter's calls and their answers' own
+            if position == len(self.rig.effects):
                 break
-            effect = self.rig.out[n]
-            if isinstance(effect, fx.OpenConnection) and effect.destination is not fx.Destination.SERVER_LIST:
-                self.rig.step(ev.ConnectionOpened(effect.connection_id))
-            elif isinstance(effect, fx.CallCounter):
-                self.rig.step(ev.CounterAnswered(effect.connection_id, End.OK, 1.0, True))
-        self.follow()
-
-    def pass_time(self, span: timedelta) -> None:
+            effect = self.rig.effects[position]
+            if (
+                isinstance(effect, effects.OpenConnection)
+                and effect.destination is not effects.Destination.SERVER_LIST
+            ):
+                self.rig.step(events.ConnectionOpened(effect.connection_id))
+            elif isinstance(effect, effects.CallCounter):
+                self.rig.step(events.CounterAnswered(effect.connection_id, End.OK, 1.0, True))
+        self.follow_effects()
+
+    def pass_time(self, duration: timedelta) -> None:
         """Time goes by, and what is due happens at its own instant."""
-        until = self.rig.now + span
+        until = self.rig.now + duration
         while self.rig.reducer.timers and self.rig.reducer.timers[0][0] <= until:
             self.rig.now = max(self.rig.now, self.rig.reducer.timers[0][0])
-            self.step(ev.WakeUpDue())
+            self.step(events.WakeUpDue())
         self.rig.now = until
-        if self.draining and until >= self.kill - ANSWER_MARGIN:
-            assert not self.orders, "SIGKILL may come, and an answer is owed"
+        if self.draining and until >= self.kill_at - ANSWER_MARGIN:
+            assert not self.open_requests, "SIGKILL may come, and an answer is owed"
 
-    def some(self, pick: int, *states: State) -> int:
-        clients = sorted(n for n, s in self.model.items() if s in states)
+    def pick_client(self, pick: int, *states: ClientState) -> int:
+        clients = sorted(
+            client_id for client_id, client_state in self.model.items() if client_state in states
+        )
         return clients[pick % len(clients)]
 
-    def has(self, *states: State) -> bool:
-        return any(s in states for s in self.model.values())
+    def has_any(self, *states: ClientState) -> bool:
+        return any(client_state in states for client_state in self.model.values())
 
     @rule()
-    def comes(self) -> None:
-        self.came += 1
-        self.model[self.came] = State.SILENT
-        self.step(ev.ClientConnected(self.came))
+    def connect(self) -> None:
+        self.client_count += 1
+        self.model[self.client_count] = ClientState.NEW
+        self.step(events.ClientConnected(self.client_count))
 
-    @precondition(lambda self: self.has(State.SILENT, State.KEPT, State.ARRIVING))
+    @precondition(lambda self: self.has_any(ClientState.NEW, ClientState.IDLE, ClientState.SENDING_HEAD))
     @rule(pick=st.integers(0, 9))
-    def begins_a_request(self, pick: int) -> None:
-        client = self.some(pick, State.SILENT, State.KEPT, State.ARRIVING)
-        self.model[client] = State.ARRIVING
-        self.step(ev.RequestHeadStarted(client))
+    def start_request(self, pick: int) -> None:
+        client_id = self.pick_client(pick, ClientState.NEW, ClientState.IDLE, ClientState.SENDING_HEAD)
+        self.model[client_id] = ClientState.SENDING_HEAD
+        self.step(events.RequestHeadStarted(client_id))
 
-    @precondition(lambda self: self.has(State.SILENT, State.KEPT, State.ARRIVING))
+    @precondition(lambda self: self.has_any(ClientState.NEW, ClientState.IDLE, ClientState.SENDING_HEAD))
     @rule(pick=st.integers(0, 9))
-    def has_sent_a_head(self, pick: int) -> None:
-        client = self.some(pick, State.SILENT, State.KEPT, State.ARRIVING)
-        self.model[client] = State.BODY
-        self.step(ev.RequestBodyStarted(client))
-
-    @precondition(lambda self: self.has(State.SILENT, State.KEPT, State.ARRIVING, State.BODY))
-    @rule(pick=st.integers(0, 9), kind=st.sampled_from([CHECK, PLACE]), left=st.integers(50, 3000))
-    def asks(self, pick: int, kind: int, left: int) -> None:
-        client = self.some(pick, State.SILENT, State.KEPT, State.ARRIVING, State.BODY)
-        self.rig.number = number = self.rig.number + 1
-        self.model[client], self.orders[number] = State.ASKING, client
-        errand = ev.HttpRequest("GET", "/stock-check", f"id-{number}", (), b"")
-        self.step(ev.RequestReceived(number, errand, kind, 0, number, timedelta(milliseconds=left), 1.0, 2, 0,
-                                False, client))  # fmt: skip
-
-    @precondition(lambda self: self.has(State.ARRIVING, State.BODY))
+    def start_body(self, pick: int) -> None:
+        client_id = self.pick_client(pick, ClientState.NEW, ClientState.IDLE, ClientState.SENDING_HEAD)
+        self.model[client_id] = ClientState.SENDING_BODY
+        self.step(events.RequestBodyStarted(client_id))
+
+    @precondition(
+        lambda self: self.has_any(
+            ClientState.NEW, ClientState.IDLE, ClientState.SENDING_HEAD, ClientState.SENDING_BODY
+        )
+    )
+    @rule(
+        pick=st.integers(0, 9),
+        class_index=st.sampled_from([CHECK, PLACE]),
+        time_left_ms=st.integers(50, 3000),
+    )
+    def send_request(self, pick: int, class_index: int, time_left_ms: int) -> None:
+        client_id = self.pick_client(
+            pick, ClientState.NEW, ClientState.IDLE, ClientState.SENDING_HEAD, ClientState.SENDING_BODY
+        )
+        self.rig.last_request_id = request_id = self.rig.last_request_id + 1
+        self.model[client_id], self.open_requests[request_id] = ClientState.WAITING, client_id
+        http_request = events.HttpRequest("GET", "/stock-check", f"id-{request_id}", (), b"")
+        self.step(
+            events.RequestReceived(
+                request_id, http_request, class_index, 0, request_id, timedelta(milliseconds=time_left_ms),
+                1.0, 2, 0, False, client_id,
+            )
+        )  # fmt: skip
+
+    @precondition(lambda self: self.has_any(ClientState.SENDING_HEAD, ClientState.SENDING_BODY))
     @rule(pick=st.integers(0, 9))
-    def is_answered_that_it_cannot_be_read(self, pick: int) -> None:
-        client = self.some(pick, State.ARRIVING, State.BODY)
-        self.model[client] = State.KEPT
-        self.step(ev.RequestDiscarded(client))
+    def discard_request(self, pick: int) -> None:
+        client_id = self.pick_client(pick, ClientState.SENDING_HEAD, ClientState.SENDING_BODY)
+        self.model[client_id] = ClientState.IDLE
+        self.step(events.RequestDiscarded(client_id))
 
     @precondition(lambda self: bool(self.rig.reducer.state.attempts))
     @rule(pick=st.integers(0, 9), end=st.sampled_from([End.OK, End.ERROR, End.FULL]))
-    def its_node_answers(self, pick: int, end: End) -> None:
+    def answer_attempt(self, pick: int, end: End) -> None:
         attempts = sorted(self.rig.reducer.state.attempts.items())
-        self.step(ev.ServerAnswered(attempts[pick % len(attempts)][1].connection_id, end, True, b""))
+        self.step(events.ServerAnswered(attempts[pick % len(attempts)][1].connection_id, end, True, b""))
 
     @precondition(lambda self: bool(self.model))
     @rule(pick=st.integers(0, 9))
-    def leaves(self, pick: int) -> None:
-        client = self.some(pick, *State)
-        del self.model[client]
-        self.orders = {n: c for n, c in self.orders.items() if c != client}
-        self.step(ev.ClientDisconnected(client))
+    def disconnect(self, pick: int) -> None:
+        client_id = self.pick_client(pick, *ClientState)
+        del self.model[client_id]
+        self.open_requests = {
+            request_id: waiting for request_id, waiting in self.open_requests.items() if waiting != client_id
+        }
+        self.step(events.ClientDisconnected(client_id))
 
-    @rule(span=st.sampled_from([1, 90, 300, 1500, 2500]))
-    def time_passes(self, span: int) -> None:
-        self.pass_time(timedelta(milliseconds=span))
+    @rule(span_ms=st.sampled_from([1, 90, 300, 1500, 2500]))
+    def advance(self, span_ms: int) -> None:
+        self.pass_time(timedelta(milliseconds=span_ms))
 
     @precondition(lambda self: not self.draining)
-    @rule(successor=st.booleans())
-    def is_asked_to_stop(self, successor: bool) -> None:
+    @rule(has_successor=st.booleans())
+    def start_drain(self, has_successor: bool) -> None:
         self.draining = True
-        self.kill = self.rig.now + min_time_to_kill(SETTINGS.classes)
-        self.step(ev.DrainRequested(successor))
+        self.kill_at = self.rig.now + min_time_to_kill(SETTINGS.classes)
+        self.step(events.DrainRequested(has_successor))
 
-    @precondition(lambda self: self.draining and not self.grace_over)
+    @precondition(lambda self: self.draining and not self.idle_closed)
     @rule()
-    def the_grace_is_over(self) -> None:
-        self.grace_over = True
-        self.step(ev.CloseIdleRequested())
-        assert not self.has(State.SILENT, State.KEPT), "they are closed, and read before if need be"
+    def close_idle(self) -> None:
+        self.idle_closed = True
+        self.step(events.CloseIdleRequested())
+        assert not self.has_any(ClientState.NEW, ClientState.IDLE), (
+            "they are closed, and read before if need be"
+        )
 
     @invariant()
-    def the_books_agree_with_the_model(self) -> None:
-        books = self.rig.reducer.state
-        there = {
-            **dict.fromkeys(books.clients_new, State.SILENT),
-            **dict.fromkeys(books.clients_sending_head, State.ARRIVING),
-            **dict.fromkeys(books.clients_sending_body, State.BODY),
-            **dict.fromkeys(books.clients_waiting, State.ASKING),
-            **dict.fromkeys(books.clients_idle, State.KEPT),
+    def state_agrees_with_the_model(self) -> None:
+        state = self.rig.reducer.state
+        actual = {
+            **dict.fromkeys(state.clients_new, ClientState.NEW),
+            **dict.fromkeys(state.clients_sending_head, ClientState.SENDING_HEAD),
+            **dict.fromkeys(state.clients_sending_body, ClientState.SENDING_BODY),
+            **dict.fromkeys(state.clients_waiting, ClientState.WAITING),
+            **dict.fromkeys(state.clients_idle, ClientState.IDLE),
         }
-        assert there == self.model
+        assert actual == self.model
         sets = (
-            books.clients_new,
-            books.clients_sending_head,
-            books.clients_sending_body,
-            books.clients_waiting,
-            books.clients_idle,
+            state.clients_new,
+            state.clients_sending_head,
+            state.clients_sending_body,
+            state.clients_waiting,
+            state.clients_idle,
         )
         assert sum(map(len, sets)) == len(self.model), "in one state at a time"
-        assert {o.id: o.client_id for o in books.requests.values()} == self.orders
+        assert {request.id: request.client_id for request in state.requests.values()} == self.open_requests
 
     def teardown(self) -> None:
         """Whatever happened: every order has its answer, and one that was asked to stop has left in time."""
         self.pass_time(timedelta(seconds=8))
-        assert not self.orders and not self.has(State.SILENT, State.ARRIVING, State.KEPT)
+        assert not self.open_requests and not self.has_any(
+            ClientState.NEW, ClientState.SENDING_HEAD, ClientState.IDLE
+        )
         if self.draining:
             assert self.rig.reducer.state.exited
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -19,7 +19,7 @@
 from tests import harness
 from tests.gateway_rig import GatewayRig, entry
 from tests.gateway_rig import settings as decisions
-from tests.reducer_rig import CHECK, PLACE, START, ReducerRig, node
+from tests.reducer_rig import CHECK, PLACE, START, ReducerRig, listed_server
 from tests.test_sockets import harness_with
 
 
@@ -117,36 +117,38 @@
 
     def call(self, rig: ReducerRig, name: int, out: bool) -> fx.AnswerStaff:
         rig.step(ev.BanChangeRequested(1, f"s-{name}", name, out))
-        return [e for e in rig.out if isinstance(e, fx.AnswerStaff)][-1]
+        return [e for e in rig.effects if isinstance(e, fx.AnswerStaff)][-1]
 
     def test_out_twice_and_back_once_is_back_and_the_file_comes_before_the_yes(self) -> None:
-        rig = ReducerRig(nodes=2)
+        rig = ReducerRig(server_count=2)
         assert self.call(rig, 1, True).accepted and self.call(rig, 1, True).accepted
-        kept = [n for n, e in enumerate(rig.out) if isinstance(e, fx.PersistBans)]
-        said = [n for n, e in enumerate(rig.out) if isinstance(e, fx.AnswerStaff)]
+        kept = [n for n, e in enumerate(rig.effects) if isinstance(e, fx.PersistBans)]
+        said = [n for n, e in enumerate(rig.effects) if isinstance(e, fx.AnswerStaff)]
         assert len(kept) == 1 and kept[0] < said[0]
         assert rig.reducer.status_report().avoided_servers == 1
         assert self.call(rig, 1, False).accepted and rig.reducer.status_report().avoided_servers == 0
 
     def test_an_unknown_one_is_owed_a_no_and_one_that_is_out_can_always_come_back(self) -> None:
-        rig = ReducerRig(nodes=1)
+        rig = ReducerRig(server_count=1)
         assert not self.call(rig, 9, True).accepted and not self.call(rig, 9, False).accepted
         assert self.call(rig, 1, False).accepted  # in use already
         assert self.call(rig, 1, True).accepted
-        question = rig.list_question()
-        rig.step(ev.ServerListAnswered(question.connection_id, True, 8, i.ListKind.WHOLE, (node(2),)))
+        question = rig.last_list_request()
+        rig.step(
+            ev.ServerListAnswered(question.connection_id, True, 8, i.ListKind.WHOLE, (listed_server(2),))
+        )
         assert self.call(rig, 1, False).accepted
 
     def test_a_node_taken_out_loses_its_idle_connections_and_finishes_what_is_there(self) -> None:
-        rig = ReducerRig(nodes=1)
+        rig = ReducerRig(server_count=1)
         rig.admit(CHECK)
-        rig.step(ev.ServerAnswered(rig.attempt().connection_id, i.End.OK, True, b""))
+        rig.step(ev.ServerAnswered(rig.last_attempt().connection_id, i.End.OK, True, b""))
         rig.admit(CHECK)
         rig.admit(PLACE)
-        lines = [e.connection_id for e in rig.out if isinstance(e, fx.SendAttempt)]
+        lines = [e.connection_id for e in rig.effects if isinstance(e, fx.SendAttempt)]
         rig.step(ev.ServerAnswered(lines[1], i.End.OK, True, b""))
         self.call(rig, 1, True)
-        closed = [e.connection_id for e in rig.out if isinstance(e, fx.CloseConnection)]
+        closed = [e.connection_id for e in rig.effects if isinstance(e, fx.CloseConnection)]
         assert lines[1] in closed and lines[2] not in closed
         rig.step(ev.ServerAnswered(lines[2], i.End.OK, True, b"done"))
         assert rig.answers[-1].status == 200
@@ -154,7 +156,7 @@
         assert rig.answers[-1].status == 429 and rig.answers[-1].retry_after
 
     def test_what_the_other_process_was_told_holds_unless_this_one_was_told_later(self) -> None:
-        rig = ReducerRig(nodes=2)
+        rig = ReducerRig(server_count=2)
         rig.step(ev.BansReceived((ev.BanStatus("s-1", 1, True, START),)))
         assert rig.reducer.status_report().avoided_servers == 1
         rig.pass_time(timedelta(seconds=1))
@@ -166,14 +168,14 @@
                     max_size=40))  # fmt: skip
     @settings(derandomize=True, max_examples=60, deadline=None)
     def test_what_was_taken_is_all_accounted_for(self, steps: list[str]) -> None:
-        rig, taken = ReducerRig(nodes=2, max_requests=6), 0
+        rig, taken = ReducerRig(server_count=2, max_requests=6), 0
         for step in steps:
             out = [a for a in rig.reducer.state.attempts.values()]
             if step in ("check", "place"):
                 taken += 1
-                rig.order(CHECK if step == "check" else PLACE, account=1000 + taken)
-                rig.count(total=1.0)
-                rig.read_last_window()
+                rig.request(CHECK if step == "check" else PLACE, account=1000 + taken)
+                rig.answer_counter(total=1.0)
+                rig.answer_last_window()
             elif step == "late":
                 rig.pass_time(timedelta(seconds=1))
             elif step == "leave" and rig.reducer.state.clients_waiting:
@@ -185,7 +187,7 @@
             elif out and step in ("serve", "error"):
                 end = i.End.OK if step == "serve" else i.End.ERROR
                 rig.step(ev.ServerAnswered(out[0].connection_id, end, True, b""))
-            rig.bring_up()
+            rig.open_connections()
             f, gone = rig.reducer.status_report(), rig.reducer.state.statistics.abandoned
             assert taken == sum(f.served) + sum(f.refused) + sum(f.failed) + f.in_progress + gone
             assert f.attempts >= sum(f.served)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -14,7 +14,7 @@
 from opalgauge.memory.events import CloseIdleRequested, DrainRequested
 from opalgauge.wire import clients as wire
 from tests import harness
-from tests.crossing import Scene, check, play, scene, told, until
+from tests.crossing import Scene, check_request, ok_response, run_scene, scene, wait_until
 
 
 class Caller:
@@ -44,7 +44,7 @@
             except BlockingIOError:
                 return False
 
-        await until(some)
+        await wait_until(some)
 
     async def answer(self) -> bytes:
         reader, writer = await asyncio.open_connection(sock=self.socket)
@@ -75,10 +75,10 @@
 async def served(here: Scene, name: str, took: float = 0.0) -> None:
     """The one stock node gets that request, and answers it."""
     while True:
-        peer = await here.nodes[0].peer()
-        if name.encode() in await peer.request():
+        peer = await here.servers[0].next_connection()
+        if name.encode() in await peer.read_request():
             await asyncio.sleep(took)
-            peer.say(told(name.encode()))
+            peer.send(ok_response(name.encode()))
             return
 
 
@@ -93,13 +93,13 @@
     async def what() -> None:
         async with scene() as here:
             caller = Caller(here)
-            await until(lambda: here.books.clients_new)
-            caller.say(check("one"))
+            await wait_until(lambda: here.state.clients_new)
+            caller.say(check_request("one"))
             end(here)
             await served(here, "one")
             assert (await caller.answer()).endswith(b"one")
 
-    play(what)
+    run_scene(what)
 
 
 @ENDS
@@ -107,41 +107,41 @@
     async def what() -> None:
         async with scene() as here:
             caller = Caller(here)
-            await until(lambda: here.books.clients_new)
+            await wait_until(lambda: here.state.clients_new)
             end(here)
             assert await caller.rest() == b""
 
-    play(what)
+    run_scene(what)
 
 
 def test_a_head_in_two_halves_round_the_shutdown_is_answered() -> None:
     async def what() -> None:
         async with scene() as here:
-            caller, data = Caller(here), check("one")
+            caller, data = Caller(here), check_request("one")
             caller.say(data[:40])
-            await until(lambda: here.books.clients_sending_head)
+            await wait_until(lambda: here.state.clients_sending_head)
             drain(here)
-            assert not here.left, "somebody is still asking"
+            assert not here.exited, "somebody is still asking"
             caller.say(data[40:])
             await served(here, "one")
             answer = await caller.answer()
             assert answer.endswith(b"one") and b"connection: close" in answer.lower()
-            await until(lambda: here.left)
+            await wait_until(lambda: here.exited)
 
-    play(what)
+    run_scene(what)
 
 
 def test_half_a_head_holds_up_no_shutdown_for_long() -> None:
     async def what() -> None:
         async with scene() as here:
             caller = Caller(here)
-            caller.say(check("one")[:40])
-            await until(lambda: here.books.clients_sending_head)
+            caller.say(check_request("one")[:40])
+            await wait_until(lambda: here.state.clients_sending_head)
             drain(here)
             here.pass_time(timedelta(seconds=3))
-            assert here.left and await caller.rest() == b""
+            assert here.exited and await caller.rest() == b""
 
-    play(what)
+    run_scene(what)
 
 
 def test_what_waits_to_be_accepted_when_listening_stops_is_answered() -> None:
@@ -149,18 +149,18 @@
         async with scene() as here:
             callers = {name: Caller(here) for name in ("one", "two")}
             for name, caller in callers.items():
-                caller.say(check(name))
+                caller.say(check_request(name))
             drain(here)  # before the loop has turned
             closing = asyncio.create_task(here.clients.close())
             for _ in callers:
-                peer = await here.nodes[0].peer()
-                data = await peer.request()
-                peer.say(told(b"one" if b"one" in data else b"two"))
+                peer = await here.servers[0].next_connection()
+                data = await peer.read_request()
+                peer.send(ok_response(b"one" if b"one" in data else b"two"))
             for name, caller in callers.items():
                 assert (await caller.answer()).endswith(name.encode())
             await closing
 
-    play(what)
+    run_scene(what)
 
 
 def test_a_request_that_nobody_has_read_when_nothing_seems_owed_is_answered() -> None:
@@ -168,16 +168,16 @@
     async def what() -> None:
         async with scene() as here:
             caller = Caller(here)
-            await until(lambda: here.books.clients_new)
-            caller.say(check("late"))
+            await wait_until(lambda: here.state.clients_new)
+            caller.say(check_request("late"))
             drain(here)
-            assert here.left
+            assert here.exited
             serving = asyncio.create_task(served(here, "late", took=0.3))  # longer than a forced end waits
             await here.clients.close()  # its first step is taken before the loop has turned
             await serving
             assert (await caller.answer()).endswith(b"late")
 
-    play(what)
+    run_scene(what)
 
 
 BODY = b"x" * 60_000
@@ -185,12 +185,12 @@
 
 async def last_answer(here: Scene, caller: Caller) -> None:
     """The ingress is leaving, and has begun to write its last, long answer to that caller."""
-    caller.say(check("one"))
-    peer = await here.nodes[0].peer()
-    await peer.request()
+    caller.say(check_request("one"))
+    peer = await here.servers[0].next_connection()
+    await peer.read_request()
     here.clients.last = True
     here.exchange.report(DrainRequested())
-    peer.say(told(BODY))
+    peer.send(ok_response(BODY))
     await caller.heard()
 
 
@@ -200,14 +200,14 @@
             caller = Caller(here, small=True)
             await last_answer(here, caller)
             caller.say(b"and more")
-            await until(lambda: not here.clients.busy)
+            await wait_until(lambda: not here.clients.busy)
             for _ in range(100):
                 await asyncio.sleep(0)
             caller.say(b"and yet more")
             assert (await caller.rest()).endswith(BODY)
-            await until(lambda: not here.clients.numbers)
+            await wait_until(lambda: not here.clients.numbers)
 
-    play(what)
+    run_scene(what)
 
 
 def test_what_is_read_behind_a_last_answer_is_not_sent_on() -> None:
@@ -217,13 +217,13 @@
             await last_answer(here, caller)
             ((connection, _),) = here.clients.numbers.items()
             assert isinstance(connection, wire.Handler)
-            caller.say(check("behind"))
-            await until(lambda: connection.dropped)
+            caller.say(check_request("behind"))
+            await wait_until(lambda: connection.dropped)
             assert not connection._messages, "it is not even read as a request"
             assert (await caller.rest()).endswith(BODY)
-            assert not here.books.requests and here.books.statistics.attempts == 1
+            assert not here.state.requests and here.state.statistics.attempts == 1
 
-    play(what)
+    run_scene(what)
 
 
 @pytest.mark.parametrize(
@@ -244,9 +244,9 @@
             caller.say_much(data)
             answer = await caller.rest()
             assert answer[9:10] == b"4" and answer.count(b"HTTP/1.") == 1
-            await until(lambda: not here.clients.numbers)
+            await wait_until(lambda: not here.clients.numbers)
 
-    play(what)
+    run_scene(what)
 
 
 def test_a_client_that_floods_is_not_read_for_ever_and_not_held_open(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -267,41 +267,41 @@
                 except OSError:
                     break  # it has been ended
                 await asyncio.sleep(0)
-            await until(lambda: not here.clients.numbers)
+            await wait_until(lambda: not here.clients.numbers)
             assert connection.dropped < wire.MOST_LINGER + 1024 * 1024
             caller.socket.close()
 
-    play(what)
+    run_scene(what)
 
 
 def test_an_ingress_that_leaves_waits_for_a_client_that_takes_its_last_answer_slowly() -> None:
     async def what() -> None:
         async with scene() as here:
             caller = Caller(here, small=True)
-            await until(lambda: here.clients.numbers)
+            await wait_until(lambda: here.clients.numbers)
             ((connection, _),) = here.clients.numbers.items()
             assert connection.transport is not None
             held = connection.transport.get_extra_info("socket")
             held.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             await last_answer(here, caller)
             here.exchange.report(CloseIdleRequested())
-            assert here.left
+            assert here.exited
             closing = asyncio.create_task(here.clients.close())
             _, pending = await asyncio.wait([closing], timeout=0.3)
             assert pending, "all of it would be lost with the process"
             assert (await caller.rest()).endswith(BODY)
             await closing
 
-    play(what)
+    run_scene(what)
 
 
 def test_small_writes_are_not_held_back() -> None:
     async def what() -> None:
         async with scene() as here:
             caller = Caller(here)
-            caller.say(check("one"))
-            peer = await here.nodes[0].peer()
-            await peer.request()
+            caller.say(check_request("one"))
+            peer = await here.servers[0].next_connection()
+            await peer.read_request()
             opened = [line.transport for line in here.exchange.lines.values()]
             accepted = [connection.transport for connection in here.clients.numbers]
             assert len(opened) >= 2 and len(accepted) == 1
@@ -309,10 +309,10 @@
                 assert transport is not None
                 held = transport.get_extra_info("socket")
                 assert held.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0
-            peer.say(told(b"one"))
+            peer.send(ok_response(b"one"))
             assert (await caller.answer()).endswith(b"one")
 
-    play(what)
+    run_scene(what)
 
 
 def test_one_that_is_asked_to_stop_while_it_starts_serves_nobody(tmp_path: Path) -> None:
@@ -342,4 +342,4 @@
         server.close()
         listener.close()
 
-    play(what)
+    run_scene(what)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -11,40 +11,51 @@
 
 from opalgauge.memory.events import AddressesChanged
 from opalgauge.wire.line import LineProtocol
-from tests.crossing import MS, Party, Peer, Scene, place, play, scene, tell, told, until
+from tests.crossing import (
+    MS,
+    Scene,
+    StandIn,
+    StandInConnection,
+    answer_list,
+    ok_response,
+    place_request,
+    run_scene,
+    scene,
+    wait_until,
+)
 
 
-async def asked(here: Scene, party: Party | None = None) -> tuple[Peer, str]:
+async def asked(here: Scene, party: StandIn | None = None) -> tuple[StandInConnection, str]:
     """The next connection for a watch, and what is asked over it."""
-    peer = await (party or here.node_list).peer()
+    peer = await (party or here.server_list).next_connection()
     return peer, await question(peer)
 
 
-async def question(peer: Peer) -> str:
-    return (await peer.request()).split(b" ")[1].decode()
+async def question(peer: StandInConnection) -> str:
+    return (await peer.read_request()).split(b" ")[1].decode()
 
 
 async def dripped(line: LineProtocol, count: int) -> None:
-    await until(lambda: line.over or line.heard.endswith(b" " * count))
+    await wait_until(lambda: line.over or line.heard.endswith(b" " * count))
 
 
 async def gone(here: Scene, line: int) -> None:
-    await until(lambda: line not in here.books.connections)
+    await wait_until(lambda: line not in here.state.connections)
 
 
 def moved(here: Scene, address: str) -> None:
-    here.exchange.report(AddressesChanged(here.books.counter_address, address))
+    here.exchange.report(AddressesChanged(here.state.counter_address, address))
 
 
 async def goes_to(here: Scene, number: int) -> None:
     """A new request is sent to that stock node and to no other."""
-    before = [len(p.all) for p in here.nodes]
-    answer = await here.ask(place(f"new-{number}"))
-    peer = await here.nodes[number].peer()
-    await peer.request()
-    after = [len(p.all) for p in here.nodes]
+    before = [len(p.all_connections) for p in here.servers]
+    answer = await here.send_request(place_request(f"new-{number}"))
+    peer = await here.servers[number].next_connection()
+    await peer.read_request()
+    after = [len(p.all_connections) for p in here.servers]
     assert [n for n in range(len(before)) if after[n] > before[n]] == [number]
-    peer.say(told(b"done"))
+    peer.send(ok_response(b"done"))
     assert (await answer).endswith(b"done")
 
 
@@ -64,19 +75,19 @@
         async with scene(list_wait=timedelta(seconds=wait)) as here:
             watch, first = await asked(here)
             heard = len(BEGINNINGS[beginning])
-            watch.say(BEGINNINGS[beginning])
+            watch.send(BEGINNINGS[beginning])
             if heard:
-                line = here.exchange.lines[here.books.list_connection_id]
-                await until(lambda: len(line.heard) >= heard or line.halting or beginning == "only 1xx")
+                line = here.exchange.lines[here.state.list_connection_id]
+                await wait_until(lambda: len(line.heard) >= heard or line.halting or beginning == "only 1xx")
             here.pass_time(timedelta(seconds=wait) + 500 * MS)
             here.pass_time(150 * MS)
             other, again = await asked(here)
             assert again == first, "it goes on from what is known"
-            assert await watch.ended() == b""
-            tell(other, 8, here.listed(0))
-            await until(lambda: here.books.list_version == 8)
+            assert await watch.read_to_end() == b""
+            answer_list(other, 8, here.list_entry(0))
+            await wait_until(lambda: here.state.list_version == 8)
 
-    play(what)
+    run_scene(what)
 
 
 def test_a_list_that_drips_for_ever_is_replaced_too() -> None:
@@ -84,33 +95,33 @@
     async def what() -> None:
         async with scene() as here:
             watch, _ = await asked(here)
-            watch.say(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-            line = here.exchange.lines[here.books.list_connection_id]
+            watch.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
+            line = here.exchange.lines[here.state.list_connection_id]
             for n in range(1, 30):
-                if here.books.list_connection_id != line.number or line.over:
+                if here.state.list_connection_id != line.number or line.over:
                     break
-                watch.say(b" ")
+                watch.send(b" ")
                 await dripped(line, n)
                 here.pass_time(60 * MS)
             assert line.over and n < 25
             await asked(here)
 
-    play(what)
+    run_scene(what)
 
 
 def test_what_drains_just_after_its_watch_was_reset_gets_nothing_new() -> None:
     # The new watch is opened at once: not after a pause in which what is told counts as heard.
     async def what() -> None:
-        async with scene(nodes=2) as here:
+        async with scene(server_count=2) as here:
             watch, _ = await asked(here)
             here.pass_time(200 * MS)
             watch.reset()
             other, _ = await asked(here)
-            tell(other, 8, here.listed(0, "terminating"))
-            await until(lambda: here.books.list_version == 8)
+            answer_list(other, 8, here.list_entry(0, "terminating"))
+            await wait_until(lambda: here.state.list_version == 8)
             await goes_to(here, 1)
 
-    play(what)
+    run_scene(what)
 
 
 def test_an_agent_that_ends_every_watch_at_once_is_asked_with_pauses() -> None:
@@ -118,12 +129,12 @@
         async with scene() as here:
             watch, _ = await asked(here)
             watch.reset()
-            await until(lambda: not here.books.list_reachable)
-            assert here.books.list_connection_id not in here.books.connections, "not at once"
+            await wait_until(lambda: not here.state.list_reachable)
+            assert here.state.list_connection_id not in here.state.connections, "not at once"
             here.pass_time(150 * MS)
             await asked(here)
 
-    play(what)
+    run_scene(what)
 
 
 @pytest.mark.parametrize("keep", [True, False])
@@ -132,32 +143,32 @@
     async def what() -> None:
         async with scene() as here:
             watch, _ = await asked(here)
-            body = json.dumps({"seq": 7, "whole": hosts, "hosts": [here.listed(0)] * hosts}).encode()
+            body = json.dumps({"seq": 7, "whole": hosts, "hosts": [here.list_entry(0)] * hosts}).encode()
             head = b"" if keep else b"Connection: close\r\n"
-            watch.say(b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body))
-            line = here.books.connections[here.books.list_connection_id]
-            await until(lambda: line.since is None)
-            assert len(here.node_list.all) == 1
+            watch.send(b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body))
+            line = here.state.connections[here.state.list_connection_id]
+            await wait_until(lambda: line.since is None)
+            assert len(here.server_list.all_connections) == 1
             here.pass_time(150 * MS)
-            assert await question(watch if keep else await here.node_list.peer())
+            assert await question(watch if keep else await here.server_list.next_connection())
 
-    play(what)
+    run_scene(what)
 
 
 def test_an_old_watchs_late_answer_is_not_heard_after_the_new_ones() -> None:
     async def what() -> None:
-        async with scene(nodes=2) as here:
+        async with scene(server_count=2) as here:
             watch, _ = await asked(here)
             # The old answer is on its way, and lies in the kernel, as the watch is given up.
-            tell(watch, 20, here.listed(0), here.listed(1), whole=True)
+            answer_list(watch, 20, here.list_entry(0), here.list_entry(1), is_complete=True)
             await watch.writer.drain()
             here.pass_time(1400 * MS)
             other, _ = await asked(here)
-            tell(other, 9, here.listed(0, "terminating"))
-            await until(lambda: here.books.list_version == 9)
+            answer_list(other, 9, here.list_entry(0, "terminating"))
+            await wait_until(lambda: here.state.list_version == 9)
             await goes_to(here, 1)
 
-    play(what)
+    run_scene(what)
 
 
 @pytest.mark.parametrize(
@@ -171,23 +182,25 @@
 )
 def test_versions_that_repeat_jump_or_go_back(seq: int, whole: bool, taken: bool, since: str | None) -> None:
     async def what() -> None:
-        async with scene(nodes=2) as here:
+        async with scene(server_count=2) as here:
             watch, _ = await asked(here)
             here.pass_time(200 * MS)
-            tell(watch, seq, here.listed(0, "terminating"), here.listed(1), whole=whole, indent=2)
+            answer_list(
+                watch, seq, here.list_entry(0, "terminating"), here.list_entry(1), is_complete=whole, indent=2
+            )
             if taken:
                 assert f"?{since}" in await question(watch)
                 await goes_to(here, 1)
             else:
-                await until(lambda: not here.books.list_reachable)
+                await wait_until(lambda: not here.state.list_reachable)
                 here.pass_time(150 * MS)
                 other, again = await asked(here)
                 assert "since" not in again, "the whole list is asked for"
-                tell(other, 3, here.listed(1), whole=True)
+                answer_list(other, 3, here.list_entry(1), is_complete=True)
                 assert "since=3&" in await question(other)
                 await goes_to(here, 1)
 
-    play(what)
+    run_scene(what)
 
 
 SPOILT: dict[str, Any] = {
@@ -205,99 +218,99 @@
 @pytest.mark.parametrize("spoilt", [*SPOILT, "deep", "no list", "no version"])
 def test_a_list_that_cannot_be_read_changes_nothing_and_the_next_is_asked_for(spoilt: str) -> None:
     async def what() -> None:
-        async with scene(nodes=2) as here:
+        async with scene(server_count=2) as here:
             watch, _ = await asked(here)
             if spoilt == "deep":
-                watch.say(told(b'{"seq":8,"whole":true,"hosts":' + b"[" * 200_000))
+                watch.send(ok_response(b'{"seq":8,"whole":true,"hosts":' + b"[" * 200_000))
             elif spoilt == "no list":
-                watch.say(told(b'{"seq":8,"whole":true,"hosts":7}'))
+                watch.send(ok_response(b'{"seq":8,"whole":true,"hosts":7}'))
             elif spoilt == "no version":
-                tell(watch, float("nan"), here.listed(0, "terminating"))
+                answer_list(watch, float("nan"), here.list_entry(0, "terminating"))
             else:
-                entry = {**here.listed(0, "terminating"), **SPOILT[spoilt]}
+                entry = {**here.list_entry(0, "terminating"), **SPOILT[spoilt]}
                 if entry["host"] is None:
                     del entry["host"]
-                tell(watch, 8, here.listed(1, "terminating"), entry)
-            await until(lambda: not here.books.list_reachable)
+                answer_list(watch, 8, here.list_entry(1, "terminating"), entry)
+            await wait_until(lambda: not here.state.list_reachable)
             assert not [line for line in here.log if "fault" in line]
             here.pass_time(150 * MS)
             other, again = await asked(here)
             assert "since" not in again
-            tell(other, 9, here.listed(0, "terminating"), here.listed(1), whole=True)
-            await until(lambda: here.books.list_version == 9)
+            answer_list(other, 9, here.list_entry(0, "terminating"), here.list_entry(1), is_complete=True)
+            await wait_until(lambda: here.state.list_version == 9)
             await goes_to(here, 1)
 
-    play(what)
+    run_scene(what)
 
 
 @pytest.mark.parametrize("state", ["half a list", "silent", "down"])
 def test_a_reload_that_moves_the_agent_asks_the_new_one_at_once_for_its_whole_list(state: str) -> None:
     async def what() -> None:
-        async with scene(nodes=2) as here:
-            other = await Party().open()
+        async with scene(server_count=2) as here:
+            other = await StandIn().start()
             watch, _ = await asked(here)
             if state == "half a list":
-                body = json.dumps({"seq": 8, "whole": True, "hosts": [here.listed(0)]}).encode()
-                watch.say(told(body)[:-5])
-                line = here.exchange.lines[here.books.list_connection_id]
-                await until(lambda: line.heard)
+                body = json.dumps({"seq": 8, "whole": True, "hosts": [here.list_entry(0)]}).encode()
+                watch.send(ok_response(body)[:-5])
+                line = here.exchange.lines[here.state.list_connection_id]
+                await wait_until(lambda: line.heard)
             elif state == "down":
-                assert here.node_list.server is not None
-                here.node_list.server.close()
+                assert here.server_list.server is not None
+                here.server_list.server.close()
                 watch.reset()
-                await until(lambda: not here.books.list_reachable)
+                await wait_until(lambda: not here.state.list_reachable)
             moved(here, other.address)
             new, first = await asked(here, other)
             assert "since" not in first
             if state == "half a list":
-                watch.say(body[-5:])  # the old one's end comes all the same
-            tell(new, 2, here.listed(0, "terminating"), here.listed(1), whole=True)
+                watch.send(body[-5:])  # the old one's end comes all the same
+            answer_list(new, 2, here.list_entry(0, "terminating"), here.list_entry(1), is_complete=True)
             assert "since=2&" in await question(new)
             await goes_to(here, 1)
             here.pass_time(timedelta(milliseconds=900))  # what was due for the old one asks nobody
-            assert len(other.all) == 1 and len(here.node_list.all) == 1
+            assert len(other.all_connections) == 1 and len(here.server_list.all_connections) == 1
             other.close()
 
-    play(what)
+    run_scene(what)
 
 
 def test_a_reload_while_the_new_agent_is_down_is_made_good_as_it_comes_up() -> None:
     async def what() -> None:
-        async with scene(nodes=2) as here:
+        async with scene(server_count=2) as here:
             watch, _ = await asked(here)
-            other = await Party().open()
+            other = await StandIn().start()
             assert other.server is not None
             host, port = other.address.split(":")
             other.server.close()
             await other.server.wait_closed()
             moved(here, other.address)
-            await until(lambda: not here.books.list_reachable)
-            assert await watch.ended() == b""
+            await wait_until(lambda: not here.state.list_reachable)
+            assert await watch.read_to_end() == b""
             other.server = await asyncio.start_server(
-                lambda r, w: other.peers.put_nowait(Peer(r, w)), host, int(port)
+                lambda r, w: other.new_connections.put_nowait(StandInConnection(r, w)), host, int(port)
             )
             here.pass_time(150 * MS)
             new, first = await asked(here, other)
             assert "since" not in first
-            tell(new, 1, here.listed(0, "terminating"), here.listed(1), whole=True)
-            await until(lambda: here.books.list_version == 1)
+            answer_list(new, 1, here.list_entry(0, "terminating"), here.list_entry(1), is_complete=True)
+            await wait_until(lambda: here.state.list_version == 1)
             await goes_to(here, 1)
             other.close()
 
-    play(what)
+    run_scene(what)
 
 
 def test_a_reload_with_the_same_address_leaves_the_watch_alone() -> None:
     async def what() -> None:
-        async with scene(nodes=2) as here:
+        async with scene(server_count=2) as here:
             watch, _ = await asked(here)
-            moved(here, here.node_list.address)
-            tell(watch, 8, here.listed(0, "terminating"))
+            moved(here, here.server_list.address)
+            answer_list(watch, 8, here.list_entry(0, "terminating"))
             assert "since=8&" in await question(watch)
-            assert len(here.node_list.all) == 1
+            assert len(here.server_list.all_connections) == 1
             await goes_to(here, 1)
 
-    play(what)
+    run_scene(what)
 
 
 def test_an_agent_without_a_turn_where_lists_are_pushed_is_asked_again_within_seconds() -> None:
@@ -306,8 +319,8 @@
         async with scene() as here:
             for _ in range(8):
                 watch, _ = await asked(here)
-                watch.say(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-                await gone(here, here.books.list_connection_id)
+                watch.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+                await gone(here, here.state.list_connection_id)
                 here.pass_time(timedelta(milliseconds=3010))
 
-    play(what)
+    run_scene(what)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -39,15 +39,15 @@
     for client in (1, 2):
         rig.step(ev.ClientConnected(client))
     rig.admit(CHECK)
-    line = rig.attempt().connection_id
+    line = rig.last_attempt().connection_id
     rig.step(ev.DrainRequested(has_successor=True))
-    assert fx.StopAccepting() in rig.out and fx.StopListening() not in rig.out
+    assert fx.StopAccepting() in rig.effects and fx.StopListening() not in rig.effects
     rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
     assert rig.answers[-1].close_connection
     rig.step(ev.ClientDisconnected(1))
-    assert fx.Exit() not in rig.out  # the other client may still ask
+    assert fx.Exit() not in rig.effects  # the other client may still ask
     rig.step(ev.ClientDisconnected(2))
-    assert fx.Exit() in rig.out
+    assert fx.Exit() in rig.effects
 
 
 def test_an_upgrade_under_load_turns_nothing_back_and_keeps_what_staff_said() -> None:
@@ -159,10 +159,10 @@
 
 def test_two_processes_share_one_part_of_a_ceiling() -> None:
     rig, heard = ReducerRig(), list[i.Event]()
-    heard = rig.listen()
+    heard = rig.record_gateway_events()
     for processes, parts in ((1, 1), (2, 2), (1, 1)):
         rig.step(ev.ProcessCountChanged(processes))
-        rig.order(CHECK)
+        rig.request(CHECK)
         assert [e for e in heard if isinstance(e, i.Request)][-1].parts == parts
 
 
--- a/tests/test_line_states.py
+++ b/tests/test_line_states.py
@@ -8,14 +8,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
+from opalgauge.memory import effects, events
 from opalgauge.memory.state import ConnectionState
 from starlinggap.interface import End, Health, ListKind
-from tests.reducer_rig import CHECK, PLACE, ReducerRig, node
+from tests.reducer_rig import CHECK, PLACE, ReducerRig, listed_server
 
 
-class Lines(RuleBasedStateMachine):
+class ServerConnections(RuleBasedStateMachine):
     """The model: each connection is opening, idle or busy until it ends, and knows nothing of the reducer.
 
     An idle one settles first: until then it carries nothing.
@@ -23,145 +22,158 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.rig = ReducerRig(max_server_connections=4, nodes=2)
+        self.rig = ReducerRig(max_server_connections=4, server_count=2)
         self.model: dict[int, ConnectionState] = {}
-        self.rested: dict[int, datetime] = {}
-        self.listed = dict.fromkeys((1, 2), Health.READY)
+        self.idle_since: dict[int, datetime] = {}
+        self.health = dict.fromkeys((1, 2), Health.READY)
         self.started = dict.fromkeys((1, 2), 0.0)
-        self.process: dict[int, tuple[int, float]] = {}  # which a connection was opened to
-        self.open_orders: set[int] = set()
-        self.read = 0
-        self.follow()
+        self.opened_to: dict[int, tuple[int, float]] = {}  # which a connection was opened to
+        self.open_requests: set[int] = set()
+        self.effects_read = 0
+        self.follow_effects()
 
-    def follow(self) -> None:
+    def follow_effects(self) -> None:
         """Moves the model by the effects alone; an effect that its state forbids fails."""
-        for effect in self.rig.out[self.read :]:
-            if isinstance(effect, fx.OpenConnection) and effect.destination is fx.Destination.SERVER:
+        for effect in self.rig.effects[self.effects_read :]:
+            if (
+                isinstance(effect, effects.OpenConnection)
+                and effect.destination is effects.Destination.SERVER
+            ):
                 self.model[effect.connection_id] = ConnectionState.OPENING
-                number = int(effect.address[-1])
-                self.process[effect.connection_id] = (number, self.started[number])
-            elif isinstance(effect, fx.SendAttempt):
+                server_id = int(effect.address[-1])
+                self.opened_to[effect.connection_id] = (server_id, self.started[server_id])
+            elif isinstance(effect, effects.SendAttempt):
                 assert self.model[effect.connection_id] in (ConnectionState.IDLE, ConnectionState.OPENING)
                 if self.model[effect.connection_id] is ConnectionState.IDLE:
-                    settled = self.rig.now - self.rested[effect.connection_id]
+                    settled = self.rig.now - self.idle_since[effect.connection_id]
                     assert settled >= self.rig.reducer.config.reuse_delay, "it has not settled"
                 self.model[effect.connection_id] = ConnectionState.BUSY
-                number, started = self.process[effect.connection_id]
-                assert self.listed[number] is Health.READY, "written to a node that is to get nothing more"
-                assert self.started[number] == started, "written to a connection to a process that is gone"
-            elif isinstance(effect, fx.CloseConnection):
+                server_id, started = self.opened_to[effect.connection_id]
+                assert self.health[server_id] is Health.READY, "written to a node that is to get nothing more"
+                assert self.started[server_id] == started, "written to a connection to a process that is gone"
+            elif isinstance(effect, effects.CloseConnection):
                 self.model.pop(effect.connection_id, None)
-            elif isinstance(effect, fx.AnswerClient):
-                assert effect.request_id in self.open_orders, "a second answer"
-                self.open_orders.remove(effect.request_id)
-        self.read = len(self.rig.out)
-
-    def some(self, stage: ConnectionState, pick: int) -> int:
-        lines = sorted(n for n, s in self.model.items() if s is stage)
-        return lines[pick % len(lines)]
-
-    def has(self, *stages: ConnectionState) -> bool:
-        return any(s in stages for s in self.model.values())
-
-    @rule(kind=st.sampled_from([CHECK, PLACE]), left=st.integers(50, 3000))
-    def order(self, kind: int, left: int) -> None:
-        self.rig.number += 1
-        errand = ev.HttpRequest("GET", "/stock-check", f"id-{self.rig.number}", (), b"")
-        self.open_orders.add(self.rig.number)
-        self.rig.step(ev.RequestReceived(self.rig.number, errand, kind, 0, self.rig.number,
-                                     timedelta(milliseconds=left), 1.0, 2, 0, False,
-                                     self.rig.number))  # fmt: skip
-        for n in range(self.read, 10**9):  # the counter's calls and their answers' own
-            if n == len(self.rig.out):
+            elif isinstance(effect, effects.AnswerClient):
+                assert effect.request_id in self.open_requests, "a second answer"
+                self.open_requests.remove(effect.request_id)
+        self.effects_read = len(self.rig.effects)
+
+    def pick_connection(self, state: ConnectionState, pick: int) -> int:
+        connections = sorted(n for n, current in self.model.items() if current is state)
+        return connections[pick % len(connections)]
+
+    def has_any(self, *states: ConnectionState) -> bool:
+        return any(current in states for current in self.model.values())
+
+    @rule(class_index=st.sampled_from([CHECK, PLACE]), time_left_ms=st.integers(50, 3000))
+    def take_request(self, class_index: int, time_left_ms: int) -> None:
+        self.rig.last_request_id += 1
+        http_request = events.HttpRequest("GET", "/stock-check", f"id-{self.rig.last_request_id}", (), b"")
+        self.open_requests.add(self.rig.last_request_id)
+        self.rig.step(
+            events.RequestReceived(
+                self.rig.last_request_id, http_request, class_index, 0, self.rig.last_request_id,
+                timedelta(milliseconds=time_left_ms), 1.0, 2, 0, False, self.rig.last_request_id,
+            )
+        )  # fmt: skip
+        for n in range(self.effects_read, 10**9):  # the counter's calls and their answers' own
+            if n == len(self.rig.effects):
                 break
-            effect = self.rig.out[n]
-            if isinstance(effect, fx.OpenConnection) and effect.destination is fx.Destination.QUOTA_COUNTER:
-                self.rig.step(ev.ConnectionOpened(effect.connection_id))
-            elif isinstance(effect, fx.CallCounter):
-                self.rig.step(ev.CounterAnswered(effect.connection_id, End.OK, 1.0, True))
-        self.follow()
-
-    @rule(number=st.integers(1, 2), health=st.sampled_from([*Health]), again=st.booleans())
-    def list_tells(self, number: int, health: Health, again: bool) -> None:
+            effect = self.rig.effects[n]
+            if (
+                isinstance(effect, effects.OpenConnection)
+                and effect.destination is effects.Destination.QUOTA_COUNTER
+            ):
+                self.rig.step(events.ConnectionOpened(effect.connection_id))
+            elif isinstance(effect, effects.CallCounter):
+                self.rig.step(events.CounterAnswered(effect.connection_id, End.OK, 1.0, True))
+        self.follow_effects()
+
+    @rule(server_id=st.integers(1, 2), health=st.sampled_from([*Health]), again=st.booleans())
+    def update_list(self, server_id: int, health: Health, again: bool) -> None:
         """A stock node drains, goes, is back; perhaps as another process."""
-        books = self.rig.reducer.state
-        while (watch := self.rig.list_question().connection_id) not in books.connections:
+        state = self.rig.reducer.state
+        while (connection_id := self.rig.last_list_request().connection_id) not in state.connections:
             self.rig.pass_time(timedelta(milliseconds=50))  # up to the next dial
-            self.rig.bring_up_list()
-        self.follow()  # up to here the list before holds: nobody can know of this one
-        self.listed[number] = health
-        self.started[number] += again
-        entry, version = node(number, health, self.started[number]), self.rig.next_version()
-        self.rig.step(ev.ServerListAnswered(watch, True, version, ListKind.CHANGES, (entry,)))
-        assert books.list_version == version, "a list over a living watch was not heard"
-        self.follow()
-
-    @precondition(lambda self: self.has(ConnectionState.OPENING))
+            self.rig.open_list_connection()
+        self.follow_effects()  # up to here the list before holds: nobody can know of this one
+        self.health[server_id] = health
+        self.started[server_id] += again
+        server, version = listed_server(server_id, health, self.started[server_id]), self.rig.next_version()
+        self.rig.step(events.ServerListAnswered(connection_id, True, version, ListKind.CHANGES, (server,)))
+        assert state.list_version == version, "a list over a living watch was not heard"
+        self.follow_effects()
+
+    @precondition(lambda self: self.has_any(ConnectionState.OPENING))
     @rule(pick=st.integers(0, 9))
-    def comes_up(self, pick: int) -> None:
-        line = self.some(ConnectionState.OPENING, pick)
-        self.rig.step(ev.ConnectionOpened(line))
-        self.follow()
-        assert self.model.get(line) is not ConnectionState.OPENING
-
-    @precondition(lambda self: self.has(ConnectionState.BUSY))
-    @rule(pick=st.integers(0, 9), end=st.sampled_from([End.OK, End.ERROR, End.FULL]), keep=st.booleans())
-    def answers(self, pick: int, end: End, keep: bool) -> None:
-        line = self.some(ConnectionState.BUSY, pick)
-        self.model[line], self.rested[line] = ConnectionState.IDLE, self.rig.now
-        self.rig.step(ev.ServerAnswered(line, end, keep, b""))
-        self.follow()
-        assert keep or line not in self.model
-
-    @precondition(lambda self: self.has(*ConnectionState))
+    def open_connection(self, pick: int) -> None:
+        connection_id = self.pick_connection(ConnectionState.OPENING, pick)
+        self.rig.step(events.ConnectionOpened(connection_id))
+        self.follow_effects()
+        assert self.model.get(connection_id) is not ConnectionState.OPENING
+
+    @precondition(lambda self: self.has_any(ConnectionState.BUSY))
+    @rule(
+        pick=st.integers(0, 9), end=st.sampled_from([End.OK, End.ERROR, End.FULL]), keep_alive=st.booleans()
+    )
+    def answer(self, pick: int, end: End, keep_alive: bool) -> None:
+        connection_id = self.pick_connection(ConnectionState.BUSY, pick)
+        self.model[connection_id], self.idle_since[connection_id] = ConnectionState.IDLE, self.rig.now
+        self.rig.step(events.ServerAnswered(connection_id, end, keep_alive, b""))
+        self.follow_effects()
+        assert keep_alive or connection_id not in self.model
+
+    @precondition(lambda self: self.has_any(*ConnectionState))
     @rule(
-        stage=st.sampled_from(list(ConnectionState)),
+        state=st.sampled_from(list(ConnectionState)),
         pick=st.integers(0, 9),
-        reached=st.sampled_from(list(ev.Progress)),
+        progress=st.sampled_from(list(events.Progress)),
     )
-    def ends(self, stage: ConnectionState, pick: int, reached: ev.Progress) -> None:
-        if self.has(stage):
-            line = self.some(stage, pick)
-            del self.model[line]
-            self.rig.step(ev.ConnectionLost(line, reached))
-            self.follow()
-
-    @precondition(lambda self: bool(self.open_orders))
+    def lose_connection(self, state: ConnectionState, pick: int, progress: events.Progress) -> None:
+        if self.has_any(state):
+            connection_id = self.pick_connection(state, pick)
+            del self.model[connection_id]
+            self.rig.step(events.ConnectionLost(connection_id, progress))
+            self.follow_effects()
+
+    @precondition(lambda self: bool(self.open_requests))
     @rule(pick=st.integers(0, 9))
-    def client_leaves(self, pick: int) -> None:
-        order = sorted(self.open_orders)[pick % len(self.open_orders)]
-        self.open_orders.remove(order)
-        self.rig.step(ev.ClientDisconnected(order))
-        self.follow()
+    def disconnect_client(self, pick: int) -> None:
+        request_id = sorted(self.open_requests)[pick % len(self.open_requests)]
+        self.open_requests.remove(request_id)
+        self.rig.step(events.ClientDisconnected(request_id))
+        self.follow_effects()
 
-    @rule(span=st.sampled_from([1, 20, 90, 300, 1500, 10_000]))
-    def time_passes(self, span: int) -> None:
-        self.rig.pass_time(timedelta(milliseconds=span))
-        self.follow()
+    @rule(span_ms=st.sampled_from([1, 20, 90, 300, 1500, 10_000]))
+    def pass_time(self, span_ms: int) -> None:
+        self.rig.pass_time(timedelta(milliseconds=span_ms))
+        self.follow_effects()
 
     @invariant()
-    def the_books_agree_with_the_model(self) -> None:
-        books = self.rig.reducer.state
-        lines = {
-            n: line for n, line in books.connections.items() if line.destination is fx.Destination.SERVER
+    def state_agrees_with_the_model(self) -> None:
+        state = self.rig.reducer.state
+        connections = {
+            n: connection
+            for n, connection in state.connections.items()
+            if connection.destination is effects.Destination.SERVER
         }
-        assert {n: line.state for n, line in lines.items()} == self.model
-        assert books.server_connection_count == len(self.model) <= 4
-        assert sorted(n for idle in books.idle_connections.values() for n in idle) == sorted(
-            n for n, s in self.model.items() if s is ConnectionState.IDLE
+        assert {n: connection.state for n, connection in connections.items()} == self.model
+        assert state.server_connection_count == len(self.model) <= 4
+        assert sorted(n for idle in state.idle_connections.values() for n in idle) == sorted(
+            n for n, current in self.model.items() if current is ConnectionState.IDLE
         )
-        carried = [line.attempt for line in lines.values() if line.attempt]
-        assert len(carried) == len(books.attempts) <= len(self.open_orders)
-        assert set(books.requests) == self.open_orders
+        carried = [connection.attempt for connection in connections.values() if connection.attempt]
+        assert len(carried) == len(state.attempts) <= len(self.open_requests)
+        assert set(state.requests) == self.open_requests
 
     def teardown(self) -> None:
         """Whatever happened, every order has its answer once its time is up."""
         self.rig.pass_time(timedelta(seconds=4))
-        self.follow()
-        assert not self.open_orders and not self.rig.reducer.state.attempts
+        self.follow_effects()
+        assert not self.open_requests and not self.rig.reducer.state.attempts
 
 
-Lines.TestCase.settings = settings(
+ServerConnections.TestCase.settings = settings(
     derandomize=True, deadline=None, max_examples=60, stateful_step_count=40, database=None
 )
-TestLines = Lines.TestCase
+TestServerConnections = ServerConnections.TestCase
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -219,26 +219,30 @@
     """What the reducer hears of long and slow bodies: beginnings, stalls and ends."""
 
     def coming(self, rig: ReducerRig) -> int:
-        rig.number += 1
-        errand = ev.HttpRequest("POST", "/place-order", f"id-{rig.number}", (), b"x", True, 100)
+        rig.last_request_id += 1
+        errand = ev.HttpRequest("POST", "/place-order", f"id-{rig.last_request_id}", (), b"x", True, 100)
         left = timedelta(seconds=2)
-        rig.step(ev.ClientConnected(rig.number))
-        rig.step(ev.RequestBodyStarted(rig.number))
-        rig.step(ev.RequestReceived(rig.number, errand, PLACE, 0, 9, left, 1, 2, 0, False, rig.number))
-        rig.bring_up()
-        rig.count(total=1.0)
-        rig.read_last_window()
-        rig.bring_up()
-        return rig.number
+        rig.step(ev.ClientConnected(rig.last_request_id))
+        rig.step(ev.RequestBodyStarted(rig.last_request_id))
+        rig.step(
+            ev.RequestReceived(
+                rig.last_request_id, errand, PLACE, 0, 9, left, 1, 2, 0, False, rig.last_request_id
+            )
+        )
+        rig.open_connections()
+        rig.answer_counter(total=1.0)
+        rig.answer_last_window()
+        rig.open_connections()
+        return rig.last_request_id
 
     def test_a_slow_body_is_timed_from_its_last_byte(self) -> None:
         rig = ReducerRig()
         order = self.coming(rig)
         rig.pass_time(timedelta(seconds=30))
-        assert not rig.answers and rig.attempt().time_left == timedelta(seconds=2)
+        assert not rig.answers and rig.last_attempt().time_left == timedelta(seconds=2)
         assert rig.reducer.status_report().in_progress == 0 and rig.reducer.status_report().attempts == 0
         rig.step(ev.RequestBodyEnded(order))
-        rig.step(ev.AttemptWritten(rig.attempt().connection_id))
+        rig.step(ev.AttemptWritten(rig.last_attempt().connection_id))
         assert rig.reducer.status_report().in_progress == 1 and rig.reducer.status_report().attempts == 1
         rig.pass_time(timedelta(milliseconds=1900))
         assert not rig.answers
@@ -248,17 +252,17 @@
     def test_half_a_body_is_never_sent_again(self) -> None:
         rig = ReducerRig()
         self.coming(rig)
-        rig.step(ev.ConnectionLost(rig.attempt().connection_id, ev.Progress.WRITING))
-        assert len([e for e in rig.out if isinstance(e, fx.SendAttempt)]) == 1
+        rig.step(ev.ConnectionLost(rig.last_attempt().connection_id, ev.Progress.WRITING))
+        assert len([e for e in rig.effects if isinstance(e, fx.SendAttempt)]) == 1
         assert rig.answers[-1].status == 429 and rig.answers[-1].retry_after  # nothing has run
 
     def test_a_body_that_stops_frees_its_node(self) -> None:
         rig = ReducerRig()
         order = self.coming(rig)
-        line = rig.attempt().connection_id
+        line = rig.last_attempt().connection_id
         rig.step(ev.RequestBodyStalled(order))
         assert rig.answers[-1].status == 408 and rig.answers[-1].close_connection
-        assert fx.CloseConnection(line) in rig.out
+        assert fx.CloseConnection(line) in rig.effects
 
     def test_a_slow_head_has_its_time_and_no_more(self) -> None:
         rig = ReducerRig()
@@ -266,49 +270,49 @@
         rig.pass_time(timedelta(milliseconds=1900))
         rig.step(ev.RequestHeadStarted(1))
         rig.pass_time(timedelta(milliseconds=2200))
-        assert fx.CloseClient(1) not in rig.out
+        assert fx.CloseClient(1) not in rig.effects
         rig.pass_time(timedelta(milliseconds=600))
-        assert fx.CloseClient(1) in rig.out
+        assert fx.CloseClient(1) in rig.effects
 
     def test_a_client_that_leaves_a_long_answer_frees_its_node_and_a_drain_waits_for_one(self) -> None:
         rig = ReducerRig()
         rig.step(ev.ClientConnected(1))
         rig.admit(CHECK)
-        line = rig.attempt().connection_id
+        line = rig.last_attempt().connection_id
         rig.step(ev.StreamedAnswerStarted(line, "", None, {}))
         assert rig.answers[-1].stream_connection_id == line and rig.reducer.status_report().in_progress == 1
         rig.step(ev.DrainRequested())
         rig.step(ev.CloseIdleRequested())
-        assert fx.Exit() not in rig.out
+        assert fx.Exit() not in rig.effects
         rig.step(ev.ClientDisconnected(1))
-        assert fx.CloseConnection(line) in rig.out and fx.Exit() in rig.out
+        assert fx.CloseConnection(line) in rig.effects and fx.Exit() in rig.effects
 
     def test_a_connection_is_free_for_others_once_a_long_answer_has_come(self) -> None:
-        rig = ReducerRig(nodes=1)
+        rig = ReducerRig(server_count=1)
         order = rig.admit(CHECK)
-        line = rig.attempt().connection_id
+        line = rig.last_attempt().connection_id
         rig.step(ev.StreamedAnswerStarted(line, "", 99_999, {}))
         rig.step(ev.StreamedAnswerReceived(line, True))
-        rig.settle()
+        rig.wait_until_reusable()
         rig.admit(CHECK)
-        assert rig.attempt().connection_id == line
+        assert rig.last_attempt().connection_id == line
         rig.step(ev.StreamedAnswerEnded(order, True))
-        assert fx.CloseConnection(line) not in rig.out and sum(rig.reducer.status_report().served) == 1
+        assert fx.CloseConnection(line) not in rig.effects and sum(rig.reducer.status_report().served) == 1
 
     def test_one_long_body_more_than_memory_holds_is_turned_away_and_the_others_go_on(self) -> None:
         rig = ReducerRig(max_streams=2)
         first = self.coming(rig)
         rig.admit(CHECK)
-        line = rig.attempt().connection_id
+        line = rig.last_attempt().connection_id
         rig.step(ev.StreamedAnswerStarted(line, "", None, {}))
         errand = ev.HttpRequest("POST", "/place-order", "one-more", (), b"x", True, 100)
         left = timedelta(seconds=2)
         rig.step(ev.RequestReceived(99, errand, PLACE, 0, 9, left, 1, 2, 0, False, 99))
         assert rig.answers[-1].status == 429 and rig.answers[-1].retry_after
         rig.admit(CHECK)
-        rig.step(ev.StreamedAnswerStarted(rig.attempt().connection_id, "", None, {}))
+        rig.step(ev.StreamedAnswerStarted(rig.last_attempt().connection_id, "", None, {}))
         assert len(rig.reducer.state.streams) == 1
         rig.step(ev.RequestBodyEnded(first))
         rig.admit(CHECK)
-        rig.step(ev.StreamedAnswerStarted(rig.attempt().connection_id, "", None, {}))
-        assert len(rig.reducer.state.streams) == 2 and fx.CloseConnection(line) not in rig.out
+        rig.step(ev.StreamedAnswerStarted(rig.last_attempt().connection_id, "", None, {}))
+        assert len(rig.reducer.state.streams) == 2 and fx.CloseConnection(line) not in rig.effects
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -12,15 +12,15 @@
 from opalgauge.memory import events as ev
 from opalgauge.wire.recorder import KINDS, MOST, Recorder
 from tests import harness
-from tests.crossing import play, scene
+from tests.crossing import run_scene, scene
 from tests.reducer_rig import PLACE, START, ReducerRig
 
 
 def test_a_request_can_be_followed_from_its_head_to_its_answer() -> None:
     rig, recorder = ReducerRig(), Recorder()
     number = rig.admit(PLACE)
-    rig.step(ev.ConnectionLost(rig.attempt().connection_id, ev.Progress.WRITTEN))
-    for effect in rig.out:
+    rig.step(ev.ConnectionLost(rig.last_attempt().connection_id, ev.Progress.WRITTEN))
+    for effect in rig.effects:
         recorder.note(effect, START)
     lines = [line for line in recorder.lines() if f"request {number} " in line]
     assert f"request {number} sent over connection" in lines[0]
@@ -78,4 +78,4 @@
             assert here.clients.listener is not None and here.clients.listener.acceptor.suspended
             assert here.log == ["fault: Log: OSError('cannot be written')"]
 
-    play(play_it)
+    run_scene(play_it)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -7,45 +7,48 @@
 
 import pytest
 
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
-from starlinggap import interface as i
-from tests.reducer_rig import CHECK, PLACE, SETTINGS, START, ReducerRig, node
+from opalgauge.memory import effects, events
+from starlinggap import interface
+from tests.reducer_rig import CHECK, PLACE, SETTINGS, START, ReducerRig, listed_server
 
 
-def test_an_order_is_counted_sent_and_answered_on_one_connection() -> None:
+def test_a_request_is_counted_sent_and_answered_over_a_reused_connection() -> None:
     rig = ReducerRig()
-    number = rig.order(PLACE, units=2.0)
-    call = rig.counter_call()
+    request_id = rig.request(PLACE, units=2.0)
+    call = rig.last_counter_call()
     assert call.amount == 2.0
-    rig.count(total=2.0)
-    rig.read_last_window()
-    attempt = rig.attempt()
+    rig.answer_counter(total=2.0)
+    rig.answer_last_window()
+    attempt = rig.last_attempt()
     assert attempt.http_request.target == "/place-order"
-    rig.step(ev.ServerAnswered(attempt.connection_id, i.End.OK, True, b"done"))
-    assert [(a.request_id, a.status, a.body) for a in rig.answers] == [(number, 200, b"done")]
-    rig.settle()
-    rig.order(PLACE, units=2.0)
-    rig.count(total=4.0)
-    assert rig.attempt().connection_id == attempt.connection_id
+    rig.step(events.ServerAnswered(attempt.connection_id, interface.End.OK, True, b"done"))
+    assert [(a.request_id, a.status, a.body) for a in rig.answers] == [(request_id, 200, b"done")]
+    rig.wait_until_reusable()
+    rig.request(PLACE, units=2.0)
+    rig.answer_counter(total=4.0)
+    assert rig.last_attempt().connection_id == attempt.connection_id
 
 
 @pytest.mark.parametrize(("told", "charged"), [(3.0, 3.0), (0.5, 0.5), (900.0, 3.0), (None, 2.0)])
-def test_units_that_a_request_was_found_to_take_are_settled_on_its_count(told: float, charged: float) -> None:
+def test_true_units_of_a_request_are_settled_with_the_next_count(told: float, charged: float) -> None:
     rig = ReducerRig(settings=replace(SETTINGS, settles=True))
-    rig.order(PLACE, units=2.0)
-    rig.count(total=2.0)
-    rig.read_last_window()
-    rig.step(ev.ServerAnswered(rig.attempt().connection_id, i.End.OK, True, b"done", true_units=told))
-    rig.order(PLACE, units=1.0)  # what is still to be settled rides on the account's next call
-    assert rig.counter_call().amount == charged - 2.0 + 1.0
+    rig.request(PLACE, units=2.0)
+    rig.answer_counter(total=2.0)
+    rig.answer_last_window()
+    rig.step(
+        events.ServerAnswered(
+            rig.last_attempt().connection_id, interface.End.OK, True, b"done", true_units=told
+        )
+    )
+    rig.request(PLACE, units=1.0)  # what is still to be settled rides on the account's next call
+    assert rig.last_counter_call().amount == charged - 2.0 + 1.0
 
 
-def test_a_refusal_says_at_once_when_to_come_back() -> None:
+def test_a_refusal_carries_retry_after() -> None:
     rig = ReducerRig()
-    rig.order(PLACE)
-    rig.count(total=1000.0)
-    rig.read_last_window()
+    rig.request(PLACE)
+    rig.answer_counter(total=1000.0)
+    rig.answer_last_window()
     answer = rig.answers[-1]
     assert answer.status == 429
     assert answer.retry_after is not None and answer.retry_after > timedelta(0)
@@ -54,379 +57,394 @@
 @pytest.mark.parametrize(
     ("reached", "again"),
     [
-        (ev.Progress.CONNECTING, True),
-        (ev.Progress.WRITING, True),
-        (ev.Progress.WRITTEN, False),
-        (ev.Progress.ANSWERING, False),
+        (events.Progress.CONNECTING, True),
+        (events.Progress.WRITING, True),
+        (events.Progress.WRITTEN, False),
+        (events.Progress.ANSWERING, False),
     ],
 )
-def test_only_how_far_it_came_decides_whether_a_place_order_is_tried_again(
-    reached: ev.Progress, again: bool
+def test_only_the_progress_of_an_attempt_decides_whether_an_unsafe_request_is_retried(
+    reached: events.Progress, again: bool
 ) -> None:
     rig = ReducerRig()
     rig.admit(PLACE)
-    first = rig.attempt()
-    rig.step(ev.ConnectionLost(first.connection_id, reached))
+    first = rig.last_attempt()
+    rig.step(events.ConnectionLost(first.connection_id, reached))
     if again:
-        rig.bring_up()
-        assert rig.attempt().connection_id != first.connection_id
+        rig.open_connections()
+        assert rig.last_attempt().connection_id != first.connection_id
     else:
         assert [a.status for a in rig.answers] == [502]
 
 
-def test_a_call_given_up_closes_its_connection_before_anything_else_is_sent() -> None:
+def test_an_attempt_that_times_out_closes_its_connection_before_anything_else_is_sent() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().connection_id
-    rig.out.clear()
+    connection_id = rig.last_attempt().connection_id
+    rig.effects.clear()
     rig.pass_time(timedelta(seconds=3))
-    assert fx.CloseConnection(line) in rig.out
-    closed = rig.out.index(fx.CloseConnection(line))
-    assert not [e for e in rig.out[:closed] if isinstance(e, fx.SendAttempt | fx.AnswerClient)]
+    assert effects.CloseConnection(connection_id) in rig.effects
+    closed = rig.effects.index(effects.CloseConnection(connection_id))
+    assert not [e for e in rig.effects[:closed] if isinstance(e, effects.SendAttempt | effects.AnswerClient)]
     assert len(rig.answers) == 1
 
 
-def test_silent_decisions_do_not_cost_a_client_its_answer() -> None:
+def test_a_client_is_answered_although_the_gateway_decides_nothing() -> None:
     rig = ReducerRig()
     rig.reducer.gateway.handle = lambda now, events: []  # type: ignore[method-assign]
-    number = rig.order(CHECK, left=timedelta(seconds=1))
+    request_id = rig.request(CHECK, time_left=timedelta(seconds=1))
     rig.pass_time(timedelta(milliseconds=980))
     assert not rig.answers
     rig.pass_time(timedelta(milliseconds=15))
-    assert [(a.request_id, a.status) for a in rig.answers] == [(number, 504)]
+    assert [(a.request_id, a.status) for a in rig.answers] == [(request_id, 504)]
 
 
-def test_a_refusal_that_is_not_permitted_leaves_as_a_failure() -> None:
+def test_a_refusal_of_what_may_have_run_becomes_a_failure() -> None:
     rig = ReducerRig()
-    number = rig.admit(PLACE)
-    rig.reducer.gateway.handle = lambda now, events: [i.Refuse(number, 0.5)]  # type: ignore[method-assign]
-    rig.step(ev.ConnectionLost(rig.attempt().connection_id, ev.Progress.WRITTEN))
+    request_id = rig.admit(PLACE)
+    rig.reducer.gateway.handle = lambda now, events: [interface.Refuse(request_id, 0.5)]  # type: ignore[method-assign]
+    rig.step(events.ConnectionLost(rig.last_attempt().connection_id, events.Progress.WRITTEN))
     assert [a.status for a in rig.answers] == [502]
 
 
-def test_a_second_attempt_while_the_first_is_out_is_not_sent() -> None:
+def test_a_second_attempt_while_the_first_is_open_is_not_sent() -> None:
     rig = ReducerRig()
-    number = rig.admit(CHECK)
-    first = rig.attempt()
+    request_id = rig.admit(CHECK)
+    first = rig.last_attempt()
     server = next(iter(rig.reducer.state.servers))
-    heard: list[i.Event] = []
+    heard: list[interface.Event] = []
 
-    def greedy(now: float, events: list[i.Event]) -> list[i.Action]:
+    def greedy(now: float, events: list[interface.Event]) -> list[interface.Action]:
         heard.extend(events)
-        return [i.Send(number, server, now + 1.0)] if isinstance(events[0], i.TimerFired) else []
+        return (
+            [interface.Send(request_id, server, now + 1.0)]
+            if isinstance(events[0], interface.TimerFired)
+            else []
+        )
 
     rig.reducer.gateway.handle = greedy  # type: ignore[method-assign]
     rig.pass_time(timedelta(milliseconds=400))
-    assert [e.end for e in heard if isinstance(e, i.Outcome)][:1] == [i.End.MOOT]
-    assert [e for e in rig.out if isinstance(e, fx.SendAttempt)] == [first]
+    assert [e.end for e in heard if isinstance(e, interface.Outcome)][:1] == [interface.End.MOOT]
+    assert [e for e in rig.effects if isinstance(e, effects.SendAttempt)] == [first]
 
 
-def test_a_client_that_leaves_has_its_attempt_called_off() -> None:
+def test_the_attempt_of_a_client_that_leaves_is_cancelled() -> None:
     rig = ReducerRig()
-    number = rig.admit(CHECK)
-    line = rig.attempt().connection_id
-    rig.step(ev.ClientDisconnected(number))
-    assert fx.CloseConnection(line) in rig.out
+    request_id = rig.admit(CHECK)
+    connection_id = rig.last_attempt().connection_id
+    rig.step(events.ClientDisconnected(request_id))
+    assert effects.CloseConnection(connection_id) in rig.effects
     assert not rig.answers and not rig.reducer.state.attempts
 
 
 def test_the_counter_answers_each_call_once_and_a_late_answer_is_dropped() -> None:
     rig = ReducerRig()
-    heard = rig.listen()
-    rig.order(PLACE)
-    line = rig.counter_call().connection_id
+    heard = rig.record_gateway_events()
+    rig.request(PLACE)
+    connection_id = rig.last_counter_call().connection_id
     rig.pass_time(timedelta(milliseconds=85))
-    assert [e.end for e in heard if isinstance(e, i.Counted)] == [i.End.TIMEOUT]
-    rig.step(ev.CounterAnswered(line, i.End.OK, 1.0, True))
-    assert len([e for e in heard if isinstance(e, i.Counted)]) == 1
-    assert fx.CloseConnection(line) not in rig.out
+    assert [e.end for e in heard if isinstance(e, interface.Counted)] == [interface.End.TIMEOUT]
+    rig.step(events.CounterAnswered(connection_id, interface.End.OK, 1.0, True))
+    assert len([e for e in heard if isinstance(e, interface.Counted)]) == 1
+    assert effects.CloseConnection(connection_id) not in rig.effects
 
 
-def test_counter_answers_reach_the_decisions_in_call_order_when_the_line_breaks() -> None:
+def test_counter_answers_reach_the_gateway_in_call_order_when_the_connection_breaks() -> None:
     rig = ReducerRig()
-    heard = rig.listen()
-    rig.order(PLACE, account=7)
-    rig.order(PLACE, account=7)
-    line = rig.counter_call().connection_id
-    rig.step(ev.CounterAnswered(line, i.End.OK, 1.0, True))
-    rig.step(ev.ConnectionLost(line, ev.Progress.WRITTEN))
-    ends = [e.end for e in heard if isinstance(e, i.Counted)]
-    assert ends[0] is i.End.OK and set(ends[1:]) == {i.End.RESET}
+    heard = rig.record_gateway_events()
+    rig.request(PLACE, account=7)
+    rig.request(PLACE, account=7)
+    connection_id = rig.last_counter_call().connection_id
+    rig.step(events.CounterAnswered(connection_id, interface.End.OK, 1.0, True))
+    rig.step(events.ConnectionLost(connection_id, events.Progress.WRITTEN))
+    ends = [e.end for e in heard if isinstance(e, interface.Counted)]
+    assert ends[0] is interface.End.OK and set(ends[1:]) == {interface.End.RESET}
 
 
-def test_an_unanswered_counter_line_is_bounded_and_replaced() -> None:
+def test_unanswered_calls_on_a_counter_connection_are_bounded() -> None:
     rig = ReducerRig(counter_pipeline_limit=4, counter_connections=1)
     for account in range(40):
-        rig.order(PLACE, account=account)
-    line = rig.reducer.state.counter_connections[0]
-    assert len(line.unanswered_calls) + len(line.queued_calls) <= 4
+        rig.request(PLACE, account=account)
+    connection_id = rig.reducer.state.counter_connections[0]
+    assert len(connection_id.unanswered_calls) + len(connection_id.queued_calls) <= 4
 
 
-def test_the_watch_is_asked_again_at_once_and_after_a_break_within_200_ms() -> None:
+def test_the_list_is_asked_for_again_at_once_and_within_200_ms_after_a_break() -> None:
     rig = ReducerRig()
-    line = rig.list_question().connection_id
+    connection_id = rig.last_list_request().connection_id
     rig.pass_time(timedelta(milliseconds=500))
-    rig.step(ev.ServerListAnswered(line, True, 9, i.ListKind.CHANGES, ()))
-    assert rig.list_question().since_version == 9
-    rig.step(ev.ConnectionLost(line, ev.Progress.WRITTEN))
+    rig.step(events.ServerListAnswered(connection_id, True, 9, interface.ListKind.CHANGES, ()))
+    assert rig.last_list_request().since_version == 9
+    rig.step(events.ConnectionLost(connection_id, events.Progress.WRITTEN))
     rig.pass_time(timedelta(milliseconds=150))
     opened = [
-        e for e in rig.out if isinstance(e, fx.OpenConnection) and e.destination is fx.Destination.SERVER_LIST
+        e
+        for e in rig.effects
+        if isinstance(e, effects.OpenConnection) and e.destination is effects.Destination.SERVER_LIST
     ]
     assert len(opened) == 2
 
 
-def test_an_agent_that_does_not_wait_or_talks_nonsense_is_neither_flooded_nor_logged_at_length() -> None:
+def test_an_agent_that_does_not_wait_or_is_unreadable_is_neither_flooded_nor_logged_at_length() -> None:
     rig = ReducerRig()
     for asked in range(1, 21):
-        line = rig.list_question().connection_id
-        rig.step(ev.ServerListAnswered(line, True, 9, i.ListKind.CHANGES, ()))
-        assert len(rig.list_questions()) == asked
+        connection_id = rig.last_list_request().connection_id
+        rig.step(events.ServerListAnswered(connection_id, True, 9, interface.ListKind.CHANGES, ()))
+        assert len(rig.list_requests()) == asked
         rig.pass_time(timedelta(milliseconds=150))
-        assert len(rig.list_questions()) == asked + 1
+        assert len(rig.list_requests()) == asked + 1
     for _ in range(20):
-        rig.step(ev.ServerListAnswered(rig.list_question().connection_id, False))
+        rig.step(events.ServerListAnswered(rig.last_list_request().connection_id, False))
         rig.pass_time(timedelta(milliseconds=150))
-        rig.bring_up()
-    assert rig.list_question().since_version is None
-    assert len([e for e in rig.out if isinstance(e, fx.Log)]) == 1
+        rig.open_connections()
+    assert rig.last_list_request().since_version is None
+    assert len([e for e in rig.effects if isinstance(e, effects.Log)]) == 1
 
 
-def test_a_node_list_without_a_turn_is_asked_later_each_time_and_not_by_all_at_once() -> None:
+def test_a_server_list_that_refuses_is_asked_with_growing_random_pauses() -> None:
     # Guards a node list shared by 40 ingresses: each was turned away and asked again 100 ms later, for ever.
     rigs = [ReducerRig(seed=n) for n in range(8)]
     for rig in rigs:
         for _ in range(6):
-            rig.step(ev.ServerListAnswered(rig.list_question().connection_id, False, refused=True))
-            asked = len(rig.list_questions())
-            while len(rig.list_questions()) == asked:
+            rig.step(events.ServerListAnswered(rig.last_list_request().connection_id, False, refused=True))
+            asked = len(rig.list_requests())
+            while len(rig.list_requests()) == asked:
                 rig.pass_time(timedelta(milliseconds=100))
-                rig.bring_up()
-        assert rig.list_question().since_version == 7, "what was told before is asked on from"
+                rig.open_connections()
+        assert rig.last_list_request().since_version == 7, "what was told before is asked on from"
         assert rig.now - START > timedelta(seconds=4)
-        assert [e.text for e in rig.out if isinstance(e, fx.Log)] == [
+        assert [e.text for e in rig.effects if isinstance(e, effects.Log)] == [
             "node list: has no turn for us; asking again, later each time"
         ]
     assert len({rig.now for rig in rigs}) > 4
 
 
-def test_forty_ingresses_that_start_at_once_ask_the_node_list_one_after_another() -> None:
+def test_forty_ingresses_that_start_at_once_spread_their_requests_for_the_list() -> None:
     # A herd that asked at once was turned away, and what it had asked for kept the others waiting for a day.
     rigs = [ReducerRig(seed=n, list_fleet_turn=timedelta(seconds=4)) for n in range(40)]
     first = []
     for rig in rigs:
-        while not rig.list_questions():
+        while not rig.list_requests():
             rig.pass_time(timedelta(milliseconds=50))
-            rig.bring_up()
+            rig.open_connections()
         first.append(rig.now - START)
     assert max(first) <= timedelta(seconds=4.1)
     seconds = [at // timedelta(seconds=1) for at in first]
     assert max(seconds.count(n) for n in range(4)) <= 16
     rig = rigs[0]
-    rig.step(ev.ServerListAnswered(rig.list_question().connection_id, False, refused=True))
-    asked = len(rig.list_questions())
+    rig.step(events.ServerListAnswered(rig.last_list_request().connection_id, False, refused=True))
+    asked = len(rig.list_requests())
     rig.pass_time(timedelta(milliseconds=1900))
-    rig.bring_up()
-    assert len(rig.list_questions()) == asked, "half a turn at least"
+    rig.open_connections()
+    assert len(rig.list_requests()) == asked, "half a turn at least"
 
 
-def test_a_silent_node_list_is_asked_anew_and_serving_goes_on() -> None:
+def test_a_silent_server_list_is_asked_anew_and_serving_goes_on() -> None:
     rig = ReducerRig()
-    line = rig.list_question().connection_id
+    connection_id = rig.last_list_request().connection_id
     rig.pass_time(timedelta(seconds=22))
-    assert fx.CloseConnection(line) in rig.out
+    assert effects.CloseConnection(connection_id) in rig.effects
     rig.admit(CHECK)
-    assert rig.attempt()
+    assert rig.last_attempt()
 
 
-def test_idle_connections_close_before_the_stock_node_would_and_when_it_is_gone() -> None:
+def test_idle_connections_close_before_the_server_closes_them_and_when_it_is_gone() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().connection_id
-    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
+    connection_id = rig.last_attempt().connection_id
+    rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
     rig.pass_time(timedelta(seconds=8))
-    assert fx.CloseConnection(line) not in rig.out
+    assert effects.CloseConnection(connection_id) not in rig.effects
     rig.pass_time(timedelta(seconds=2))
-    assert fx.CloseConnection(line) in rig.out
+    assert effects.CloseConnection(connection_id) in rig.effects
     rig.admit(CHECK)
-    line = rig.attempt().connection_id
-    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
+    connection_id = rig.last_attempt().connection_id
+    rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
     while (
-        rig.list_question().connection_id not in rig.reducer.state.connections
+        rig.last_list_request().connection_id not in rig.reducer.state.connections
     ):  # it may be between two watches
         rig.pass_time(timedelta(milliseconds=100))
-        rig.bring_up()
+        rig.open_connections()
     rig.step(
-        ev.ServerListAnswered(rig.list_question().connection_id, True, 12, i.ListKind.WHOLE, (node(99),))
+        events.ServerListAnswered(
+            rig.last_list_request().connection_id, True, 12, interface.ListKind.WHOLE, (listed_server(99),)
+        )
     )
-    assert fx.CloseConnection(line) in rig.out
+    assert effects.CloseConnection(connection_id) in rig.effects
 
 
 def test_a_probe_goes_out_on_a_connection_and_its_report_comes_back() -> None:
     rig = ReducerRig()
-    heard: list[i.Event] = []
-    asked: list[i.Action] = [i.Probe(2), i.Probe(3)]
+    heard: list[interface.Event] = []
+    asked: list[interface.Action] = [interface.Probe(2), interface.Probe(3)]
 
-    def handle(now: float, events: list[i.Event]) -> list[i.Action]:
+    def handle(now: float, events: list[interface.Event]) -> list[interface.Action]:
         heard.extend(events)
         actions, asked[:] = list(asked), []
         return actions
 
     rig.reducer.gateway.handle = handle  # type: ignore[method-assign]
-    rig.order(CHECK)
-    first, second = (e.connection_id for e in rig.out if isinstance(e, fx.SendProbe))
-    rig.step(ev.ServerAnswered(first, i.End.OK, True, load={"util": 0.5}))
+    rig.request(CHECK)
+    first, second = (e.connection_id for e in rig.effects if isinstance(e, effects.SendProbe))
+    rig.step(events.ServerAnswered(first, interface.End.OK, True, load={"util": 0.5}))
     rig.pass_time(timedelta(milliseconds=300))
-    told = [(e.server, e.end, e.load) for e in heard if isinstance(e, i.Probed)]
-    assert told == [(2, i.End.OK, {"util": 0.5}), (3, i.End.TIMEOUT, {})]
-    assert fx.CloseConnection(second) in rig.out and fx.CloseConnection(first) not in rig.out
+    told = [(e.server, e.end, e.load) for e in heard if isinstance(e, interface.Probed)]
+    assert told == [(2, interface.End.OK, {"util": 0.5}), (3, interface.End.TIMEOUT, {})]
+    assert (
+        effects.CloseConnection(second) in rig.effects and effects.CloseConnection(first) not in rig.effects
+    )
 
 
-def test_close_drops_the_idle_connections_to_that_stock_node() -> None:
+def test_close_drops_the_idle_connections_to_that_server() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().connection_id
-    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
-    node_number = rig.reducer.state.connections[line].server_id
-    rig.reducer.gateway.handle = lambda now, events: [i.Close(node_number)]  # type: ignore[method-assign]
-    rig.order(CHECK)
-    assert fx.CloseConnection(line) in rig.out
+    connection_id = rig.last_attempt().connection_id
+    rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
+    server_id = rig.reducer.state.connections[connection_id].server_id
+    rig.reducer.gateway.handle = lambda now, events: [interface.Close(server_id)]  # type: ignore[method-assign]
+    rig.request(CHECK)
+    assert effects.CloseConnection(connection_id) in rig.effects
 
 
-def test_a_full_house_of_connections_makes_room_or_says_so() -> None:
-    rig = ReducerRig(max_server_connections=2, nodes=3)
+def test_connections_to_servers_are_bounded() -> None:
+    rig = ReducerRig(max_server_connections=2, server_count=3)
     for _ in range(6):
         rig.admit(CHECK)
     assert rig.reducer.state.server_connection_count <= 2
 
 
-def test_too_many_orders_are_refused_at_once() -> None:
+def test_too_many_requests_are_refused_at_once() -> None:
     rig = ReducerRig(max_requests=2)
     for _ in range(4):
-        rig.order(CHECK)
+        rig.request(CHECK)
     assert [a.status for a in rig.answers] == [429, 429]
 
 
-def test_what_is_due_rides_on_other_events_and_is_woken_for_within_the_slack() -> None:
+def test_due_timers_run_with_other_events_or_at_a_wake_up_within_the_slack() -> None:
     # Guards the hot path: a wake-up of its own for every timer, most of them due in vain, was 12% of the CPU.
     rig = ReducerRig()
-    heard = rig.listen()
-    rig.order(CHECK, left=timedelta(seconds=1))
+    heard = rig.record_gateway_events()
+    rig.request(CHECK, time_left=timedelta(seconds=1))
     due = rig.reducer.timers[0][0]
-    asked = [e for e in rig.out if isinstance(e, fx.WakeAt)][-1]
+    asked = [e for e in rig.effects if isinstance(e, effects.WakeAt)][-1]
     assert due < asked.at <= due + timedelta(milliseconds=3)
     rig.now = due
-    rig.step(ev.ConnectionLost(999_999, ev.Progress.WRITTEN))
-    assert [e for e in heard if isinstance(e, i.TimerFired)]
+    rig.step(events.ConnectionLost(999_999, events.Progress.WRITTEN))
+    assert [e for e in heard if isinstance(e, interface.TimerFired)]
 
 
-def test_a_drain_answers_all_and_leaves_when_nothing_is_owed() -> None:
+def test_a_drain_answers_all_and_exits_when_nothing_is_owed() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().connection_id
-    rig.step(ev.DrainRequested())
-    rig.step(ev.CloseIdleRequested())
-    assert fx.StopListening() in rig.out and fx.Exit() not in rig.out
-    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
+    connection_id = rig.last_attempt().connection_id
+    rig.step(events.DrainRequested())
+    rig.step(events.CloseIdleRequested())
+    assert effects.StopListening() in rig.effects and effects.Exit() not in rig.effects
+    rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
     assert rig.answers[-1].close_connection
-    assert fx.Exit() in rig.out
+    assert effects.Exit() in rig.effects
 
 
-def test_an_attempt_put_on_a_connection_that_is_over_goes_over_another_and_counts_once() -> None:
-    rig = ReducerRig(nodes=1)
+def test_an_attempt_on_a_stale_connection_goes_over_another_and_counts_once() -> None:
+    rig = ReducerRig(server_count=1)
     rig.admit(PLACE)
-    old = rig.attempt().connection_id
-    rig.step(ev.ServerAnswered(old, i.End.OK, True, b""))
-    rig.settle()
+    old = rig.last_attempt().connection_id
+    rig.step(events.ServerAnswered(old, interface.End.OK, True, b""))
+    rig.wait_until_reusable()
     rig.admit(PLACE)
-    assert rig.attempt().connection_id == old
-    heard = rig.listen()
-    rig.step(ev.ConnectionStale(old))
-    rig.bring_up()
-    new = rig.attempt().connection_id
-    assert new != old and not [e for e in heard if isinstance(e, i.Outcome)]
-    rig.step(ev.ServerAnswered(new, i.End.OK, True, b""))
+    assert rig.last_attempt().connection_id == old
+    heard = rig.record_gateway_events()
+    rig.step(events.ConnectionStale(old))
+    rig.open_connections()
+    new = rig.last_attempt().connection_id
+    assert new != old and not [e for e in heard if isinstance(e, interface.Outcome)]
+    rig.step(events.ServerAnswered(new, interface.End.OK, True, b""))
     assert rig.answers[-1].status == 200
-    assert [(e.attempt, e.end) for e in heard if isinstance(e, i.Outcome)] == [(0, i.End.OK)]
+    assert [(e.attempt, e.end) for e in heard if isinstance(e, interface.Outcome)] == [(0, interface.End.OK)]
 
 
-def test_a_call_put_on_a_counter_connection_that_is_over_goes_over_another() -> None:
+def test_a_counter_call_on_a_stale_connection_goes_over_another() -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    rig.order(CHECK, account=1000)
-    call = rig.counter_call()
-    heard = rig.listen()
-    rig.step(ev.ConnectionStale(call.connection_id))
-    rig.bring_up()
-    again = rig.counter_call()
+    rig.request(CHECK, account=1000)
+    call = rig.last_counter_call()
+    heard = rig.record_gateway_events()
+    rig.step(events.ConnectionStale(call.connection_id))
+    rig.open_connections()
+    again = rig.last_counter_call()
     assert (again.name, again.amount) == (
         call.name,
         call.amount,
     ) and again.connection_id != call.connection_id
-    rig.count(total=2.0)
-    assert [e.end for e in heard if isinstance(e, i.Counted)] == [i.End.OK]
+    rig.answer_counter(total=2.0)
+    assert [e.end for e in heard if isinstance(e, interface.Counted)] == [interface.End.OK]
 
 
-def test_nobody_waits_longer_than_the_deadline_of_the_kind() -> None:
+def test_nobody_waits_longer_than_the_deadline_of_the_class() -> None:
     # Guards the memory too: what an order leaves behind is kept until its time is up.
     rig = ReducerRig()
-    rig.order(CHECK, left=timedelta(hours=1))
+    rig.request(CHECK, time_left=timedelta(hours=1))
     rig.pass_time(timedelta(milliseconds=1250))
     assert rig.answers and not rig.reducer.state.requests and not rig.reducer.state.open_correlation_ids
 
 
-@pytest.mark.parametrize("rest", [True, False])
-def test_an_answer_that_begins_and_does_not_go_on_is_given_up_soon(rest: bool) -> None:
+@pytest.mark.parametrize("rest_comes", [True, False])
+def test_an_answer_that_stalls_is_given_up_soon(rest_comes: bool) -> None:
     rig = ReducerRig()
     rig.admit(CHECK)
-    line = rig.attempt().connection_id
-    rig.step(ev.AnswerPartReceived(line))
-    if rest:
-        rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
+    connection_id = rig.last_attempt().connection_id
+    rig.step(events.AnswerPartReceived(connection_id))
+    if rest_comes:
+        rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
     rig.pass_time(timedelta(milliseconds=310))
-    assert (fx.CloseConnection(line) in rig.out) is not rest
-    assert [a.status for a in rig.answers] == ([200] if rest else [])
-    if not rest:
-        rig.bring_up()
-        assert rig.attempt().connection_id != line, "a stock-check is sent again"
+    assert (effects.CloseConnection(connection_id) in rig.effects) is not rest_comes
+    assert [a.status for a in rig.answers] == ([200] if rest_comes else [])
+    if not rest_comes:
+        rig.open_connections()
+        assert rig.last_attempt().connection_id != connection_id, "a stock-check is sent again"
 
 
-def test_a_counter_answer_that_does_not_go_on_frees_the_calls_behind_it() -> None:
+def test_a_counter_answer_that_stalls_frees_the_calls_behind_it() -> None:
     rig = ReducerRig()
-    rig.order(CHECK)
-    line = rig.counter_call().connection_id
-    rig.step(ev.AnswerPartReceived(line))
+    rig.request(CHECK)
+    connection_id = rig.last_counter_call().connection_id
+    rig.step(events.AnswerPartReceived(connection_id))
     rig.pass_time(timedelta(milliseconds=110))
-    assert fx.CloseConnection(line) in rig.out
+    assert effects.CloseConnection(connection_id) in rig.effects
 
 
-@pytest.mark.parametrize("kind", [i.ListKind.CHANGES, i.ListKind.WHOLE])
-def test_a_new_stock_node_at_an_old_ones_address_takes_its_place(kind: i.ListKind) -> None:
-    rig = ReducerRig(nodes=1)
+@pytest.mark.parametrize("list_kind", [interface.ListKind.CHANGES, interface.ListKind.WHOLE])
+def test_a_new_server_at_an_old_ones_address_replaces_it(list_kind: interface.ListKind) -> None:
+    rig = ReducerRig(server_count=1)
     rig.admit(CHECK)
-    line = rig.attempt().connection_id
-    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
-    heard = rig.listen()
-    old, new = node(1), ev.ListedServer(node(1).address, i.ServerEntry(9, i.Health.READY, started=1.0))
-    told = (old, new) if kind is i.ListKind.WHOLE else (new,)
-    rig.step(ev.ServerListAnswered(rig.list_question().connection_id, True, 8, kind, told))
-    assert fx.CloseConnection(line) in rig.out
+    connection_id = rig.last_attempt().connection_id
+    rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
+    heard = rig.record_gateway_events()
+    old, new = (
+        listed_server(1),
+        events.ListedServer(
+            listed_server(1).address, interface.ServerEntry(9, interface.Health.READY, started=1.0)
+        ),
+    )
+    told = (old, new) if list_kind is interface.ListKind.WHOLE else (new,)
+    rig.step(events.ServerListAnswered(rig.last_list_request().connection_id, True, 8, list_kind, told))
+    assert effects.CloseConnection(connection_id) in rig.effects
     assert set(rig.reducer.state.servers) == {9}
-    entries = [e for e in heard if isinstance(e, i.ServerList)][-1].entries
-    assert [e.health for e in entries if e.server == 1][-1] is i.Health.GONE
+    entries = [e for e in heard if isinstance(e, interface.ServerList)][-1].entries
+    assert [e.health for e in entries if e.server == 1][-1] is interface.Health.GONE
     assert rig.reducer.gateway.ready == [9]
 
 
-def test_a_watch_that_died_in_silence_is_noticed_within_two_seconds() -> None:
+def test_a_list_connection_that_died_in_silence_is_replaced_within_two_seconds() -> None:
     rig = ReducerRig()
-    first = rig.list_question()
+    first = rig.last_list_request()
     assert first.wait <= timedelta(seconds=1), "an agent that lives has answered by then"
     rig.pass_time(timedelta(milliseconds=1500))
-    rig.bring_up()
-    assert fx.CloseConnection(first.connection_id) in rig.out
+    rig.open_connections()
+    assert effects.CloseConnection(first.connection_id) in rig.effects
     assert (
-        rig.list_question().connection_id != first.connection_id
-        and rig.list_question().since_version == first.since_version
+        rig.last_list_request().connection_id != first.connection_id
+        and rig.last_list_request().since_version == first.since_version
     )
 
 
@@ -434,16 +452,16 @@
 def test_a_counter_connection_that_is_silent_while_others_answer_is_replaced(lives: bool) -> None:
     # Guards the accounts whose names share it: each of their calls would time out.
     rig = ReducerRig()
-    rig.order(CHECK, account=42)
-    dead = rig.counter_call()
+    rig.request(CHECK, account=42)
+    dead = rig.last_counter_call()
     rig.pass_time(timedelta(milliseconds=100))
     if lives:
         account = 43
-        while rig.counter_call().connection_id == dead.connection_id:
-            rig.order(CHECK, account=account)
+        while rig.last_counter_call().connection_id == dead.connection_id:
+            rig.request(CHECK, account=account)
             account += 1
-        rig.count(total=1.0)
+        rig.answer_counter(total=1.0)
     rig.pass_time(timedelta(milliseconds=150))
-    assert (fx.CloseConnection(dead.connection_id) in rig.out) is lives
+    assert (effects.CloseConnection(dead.connection_id) in rig.effects) is lives
     rig.pass_time(timedelta(seconds=2))
-    assert fx.CloseConnection(dead.connection_id) in rig.out
+    assert effects.CloseConnection(dead.connection_id) in rig.effects
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -17,9 +17,9 @@
 from opalgauge.wire.exchange import Exchange
 from opalgauge.wire.node_list import NodeListReader
 from tests import harness
-from tests.reducer_rig import START, house
+from tests.reducer_rig import START, ingress_config
 
-SETTLING = house().reuse_delay.total_seconds()
+SETTLING = ingress_config().reuse_delay.total_seconds()
 
 
 @contextlib.asynccontextmanager
@@ -302,7 +302,9 @@
 
     async def scene() -> None:
         told: list[str] = []
-        exchange = Exchange(Broken(house()), lambda: START, NodeListReader(()), told.append, lambda: None)
+        exchange = Exchange(
+            Broken(ingress_config()), lambda: START, NodeListReader(()), told.append, lambda: None
+        )
         for _ in range(30):
             exchange.report(ev.ClientDisconnected(1))
         exchange.report(ev.WakeUpDue())
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -114,24 +114,24 @@
 def test_clients_are_accepted_again_only_while_there_is_time_to_answer_them() -> None:
     rig = draining()
     rig.step(ev.OtherProcessAccepting(False))
-    assert fx.ResumeAccepting() in rig.out
+    assert fx.ResumeAccepting() in rig.effects
     late = draining()
     assert late.reducer.state.drain_schedule is not None
     late.now = late.reducer.state.drain_schedule.close_idle
     late.step(ev.WakeUpDue())
     late.step(ev.OtherProcessAccepting(False))
-    assert fx.ResumeAccepting() not in late.out
+    assert fx.ResumeAccepting() not in late.effects
     alone = draining(successor=False)
     alone.step(ev.OtherProcessAccepting(False))
-    assert fx.ResumeAccepting() not in alone.out
+    assert fx.ResumeAccepting() not in alone.effects
 
 
 def test_bans_of_the_other_process_are_kept_once() -> None:
     rig = ReducerRig()
     rig.step(ev.BansReceived((BAN,), persist=True))
-    assert sum(isinstance(e, fx.PersistBans) for e in rig.out) == 1
+    assert sum(isinstance(e, fx.PersistBans) for e in rig.effects) == 1
     rig.step(ev.BansReceived((BAN,), persist=True))
-    assert sum(isinstance(e, fx.PersistBans) for e in rig.out) == 1
+    assert sum(isinstance(e, fx.PersistBans) for e in rig.effects) == 1
 
 
 # --- the link ----------------------------------------------------------------------------------------------
