--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -23,29 +23,31 @@
     return harness.OK
 
 
-def names_of(counter: harness.Seen) -> set[bytes]:
+def window_names(counter: harness.Seen) -> set[bytes]:
     """The names of the windows that were charged."""
     return {request.split(b" ")[1].partition(b"?")[0] for request in counter.requests if b"by=2" in request}
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
-def test_an_upgrade_over_a_stepped_clock_goes_on_in_the_same_windows_and_keeps_bans(step: int) -> None:
+def test_an_upgrade_over_a_stepped_clock_keeps_windows_and_bans(step: int) -> None:
     # A window of this quota is 5 s long, so that the charges of both processes fall into two at most.
-    async def play() -> None:
+    async def scenario() -> None:
         with socket.socket() as listener, tempfile.TemporaryDirectory() as scratch:
             listener.bind(("127.0.0.1", 0))
             listener.listen(64)
             shim = Shim(scratch)
             async with (
-                harness.party(ok) as (node_at, _),
-                harness.party(harness.counter()) as (quota_at, quota),
-                harness.party(harness.silent) as (list_at, _),
-                harness.ingress(node_at, quota_at, list_at, listener, scratch, environ=shim.environ) as old,
+                harness.party(ok) as (server_address, _),
+                harness.party(harness.counter()) as (counter_address, counter),
+                harness.party(harness.silent) as (list_address, _),
+                harness.ingress(
+                    server_address, counter_address, list_address, listener, scratch, environ=shim.environ
+                ) as old,
             ):
                 assert b" 200 " in await old.ask("GET", "/stock-check")
                 shim.give("wall_clock", step)
                 async with harness.ingress(
-                    node_at, quota_at, list_at, listener, scratch, environ=shim.environ
+                    server_address, counter_address, list_address, listener, scratch, environ=shim.environ
                 ) as new:
                     assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
                     old.process.send_signal(signal.SIGTERM)
@@ -56,19 +58,19 @@
                     assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
                     assert b" 200 " in await new.ask("GET", "/stock-check")
                 assert shim.given("wall_clock") > 0
-                assert 1 <= len(names_of(quota)) <= 3, "an hour lies between the windows of the two"
+                assert 1 <= len(window_names(counter)) <= 3, "an hour lies between the windows of the two"
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_a_step_while_serving_changes_no_wait_and_no_drain(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_clock_step_while_serving_changes_no_timeout_and_no_drain(tmp_path: Path) -> None:
+    async def scenario() -> None:
         shim = Shim(str(tmp_path))
         async with (
-            harness.party(harness.silent) as (node_at, _),
-            harness.party(harness.counter()) as (quota_at, _),
-            harness.party(harness.silent) as (list_at, _),
-            harness.ingress(node_at, quota_at, list_at, environ=shim.environ) as ingress,
+            harness.party(harness.silent) as (server_address, _),
+            harness.party(harness.counter()) as (counter_address, _),
+            harness.party(harness.silent) as (list_address, _),
+            harness.ingress(server_address, counter_address, list_address, environ=shim.environ) as ingress,
         ):
             loop = asyncio.get_running_loop()
             for step in (HOUR, -HOUR):
@@ -84,22 +86,22 @@
             assert await asyncio.wait_for(ingress.process.wait(), 20) == 0
             assert loop.time() - began < 3.7
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_a_ban_on_a_full_disk_holds_over_an_upgrade_and_is_written_when_there_is_room() -> None:
-    async def play() -> None:
+def test_a_ban_on_a_full_disk_survives_an_upgrade_and_is_written_when_there_is_space() -> None:
+    async def scenario() -> None:
         with socket.socket() as listener, tempfile.TemporaryDirectory() as scratch:
             listener.bind(("127.0.0.1", 0))
             listener.listen(64)
             with tempfile.TemporaryDirectory() as apart:
                 shim = Shim(apart)
                 async with (
-                    harness.party(ok) as (node_at, _),
-                    harness.party(harness.counter()) as (quota_at, _),
-                    harness.party(harness.silent) as (list_at, _),
+                    harness.party(ok) as (server_address, _),
+                    harness.party(harness.counter()) as (counter_address, _),
+                    harness.party(harness.silent) as (list_address, _),
                     harness.ingress(
-                        node_at, quota_at, list_at, listener, scratch, environ=shim.environ
+                        server_address, counter_address, list_address, listener, scratch, environ=shim.environ
                     ) as old,
                 ):
                     shim.give("folder", errno.ENOSPC)
@@ -108,7 +110,7 @@
                     kept = Path(scratch) / NAME
                     assert not kept.exists()
                     async with harness.ingress(
-                        node_at, quota_at, list_at, listener, scratch, environ=shim.environ
+                        server_address, counter_address, list_address, listener, scratch, environ=shim.environ
                     ) as new:
                         assert b"skipped_backends=1" in await new.call(b"stats\n")
                         shim.stop("folder")
@@ -118,35 +120,35 @@
                         told = bans.read(kept.read_bytes())
                         assert told is not None and [(name, out) for name, out, _ in told] == [("s-1", True)]
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_a_restart_over_a_file_that_was_half_written_serves_and_keeps_new_bans() -> None:
-    async def play() -> None:
+def test_a_restart_over_a_truncated_ban_file_serves_and_keeps_new_bans() -> None:
+    async def scenario() -> None:
         with tempfile.TemporaryDirectory() as scratch:
             (Path(scratch) / NAME).write_bytes(b"opalgauge-marks-1 400 ab")
             (Path(scratch) / NEW).write_bytes(b"opalgau")
             async with (
-                harness.party(ok) as (node_at, _),
-                harness.party(harness.counter()) as (quota_at, _),
-                harness.party(harness.silent) as (list_at, _),
-                harness.ingress(node_at, quota_at, list_at, scratch=scratch) as ingress,
+                harness.party(ok) as (server_address, _),
+                harness.party(harness.counter()) as (counter_address, _),
+                harness.party(harness.silent) as (list_address, _),
+                harness.ingress(server_address, counter_address, list_address, scratch=scratch) as ingress,
             ):
                 assert b" 200 " in await ingress.ask("GET", "/stock-check")
                 assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")
                 told = bans.read((Path(scratch) / NAME).read_bytes())
                 assert told is not None and told[0][:2] == ("s-1", True)
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_a_log_that_nobody_reads_any_more_stops_no_service(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_closed_log_pipe_does_not_stop_service(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with (
-            harness.party(ok) as (node_at, _),
-            harness.party(harness.counter()) as (quota_at, _),
-            harness.party(harness.silent) as (list_at, _),
-            harness.ingress(node_at, quota_at, list_at) as ingress,
+            harness.party(ok) as (server_address, _),
+            harness.party(harness.counter()) as (counter_address, _),
+            harness.party(harness.silent) as (list_address, _),
+            harness.ingress(server_address, counter_address, list_address) as ingress,
         ):
             # The reading end of its standard error is closed: each line written there fails from now on.
             transport = ingress.process._transport.get_pipe_transport(2)  # type: ignore[attr-defined]
@@ -158,4 +160,4 @@
             ingress.process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(ingress.process.wait(), 20) == 0
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from opalgauge.memory.effects import Destination as Whom
+from opalgauge.memory.effects import Destination as Destination
 from opalgauge.memory.events import AddressesChanged
 from opalgauge.memory.state import ConnectionState
-from starlinggap import interface as i
+from starlinggap import interface as interface
 from tests import harness
 from tests.crossing import (
     MS,
@@ -34,50 +34,50 @@
     SETTINGS_WITHOUT_COUNTER,
     classes=(
         SETTINGS_WITHOUT_COUNTER.classes[0],
-        replace(SETTINGS_WITHOUT_COUNTER.classes[1], effect=i.Effect.KEYED, window=0.3),
+        replace(SETTINGS_WITHOUT_COUNTER.classes[1], effect=interface.Effect.KEYED, window=0.3),
     ),
 )
 
 
-async def first_unless(
-    here: Scene, reading: asyncio.Task[list[tuple[StandInConnection, str, float]]]
+async def first_connection_unless_read(
+    running: Scene, reading: asyncio.Task[list[tuple[StandInConnection, str, float]]]
 ) -> tuple[int, StandInConnection]:
     """As `first`; a further call that only reads is answered with nothing."""
-    getting = asyncio.create_task(first_connection(here))
+    getting = asyncio.create_task(first_connection(running))
     await asyncio.wait([getting, reading], return_when=asyncio.FIRST_COMPLETED)
     if reading.done():
-        ((peer, _, amount),) = reading.result()
+        ((connection, _, amount),) = reading.result()
         assert amount == 0.0
-        peer.send(ok_response(b"0"))
+        connection.send(ok_response(b"0"))
     else:
         reading.cancel()
     return await getting
 
 
-def sent(here: Scene) -> int:
-    return sum(len(p.all_connections) for p in here.servers)
+def attempts_received(running: Scene) -> int:
+    return sum(len(p.all_connections) for p in running.servers)
 
 
-def nothing_left(here: Scene) -> None:
+def assert_nothing_left(running: Scene) -> None:
     """Nothing of any request: in the books, at the sockets, with whoever waits."""
-    books, clients = here.state, here.clients
+    state, clients = running.state, running.clients
     assert (
-        not books.requests
-        and not books.open_correlation_ids
-        and not books.clients_waiting
-        and not books.attempts
+        not state.requests
+        and not state.open_correlation_ids
+        and not state.clients_waiting
+        and not state.attempts
     )
-    assert not books.streams and not books.clients_sending_body and not books.clients_sending_head
+    assert not state.streams and not state.clients_sending_body and not state.clients_sending_head
     assert not clients.waiting and not clients.bodies and not clients.reading and not clients.busy
-    assert not here.exchange.pours
+    assert not running.exchange.pours
     assert not [
-        li
-        for li in books.connections.values()
-        if li.destination is Whom.SERVER and li.state is ConnectionState.BUSY
+        connection
+        for connection in state.connections.values()
+        if connection.destination is Destination.SERVER and connection.state is ConnectionState.BUSY
     ]
 
 
-BREAKS = {
+BROKEN_ANSWERS = {
     "in the head": b"HTTP/1.1 200 OK\r\nConte",
     "in the body": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone",
     "in a body without length": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone",
@@ -86,56 +86,60 @@
 }
 
 
-@pytest.mark.parametrize("kind", ["safe", "unsafe"])
-@pytest.mark.parametrize("where", BREAKS)
-def test_an_answer_that_a_reset_breaks_is_none_and_only_what_may_is_repeated(where: str, kind: str) -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            answer = await here.send_request(check_request("one") if kind == "safe" else place_request("one"))
-            _, peer = await first_connection(here)
-            await peer.read_request()
-            peer.send(BREAKS[where])
-            if BREAKS[where]:
-                (line,) = [li for li in here.exchange.lines.values() if li.flows is not None]
-                await wait_until(lambda: line.heard)
-            peer.reset()
-            if kind == "safe":
-                _, again = await first_connection(here)
+@pytest.mark.parametrize("idempotency", ["safe", "unsafe"])
+@pytest.mark.parametrize("place", BROKEN_ANSWERS)
+def test_an_answer_broken_by_a_reset_fails_and_only_safe_requests_are_repeated(
+    place: str, idempotency: str
+) -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            answer = await running.send_request(
+                check_request("one") if idempotency == "safe" else place_request("one")
+            )
+            _, connection = await first_connection(running)
+            await connection.read_request()
+            connection.send(BROKEN_ANSWERS[place])
+            if BROKEN_ANSWERS[place]:
+                (protocol,) = [li for li in running.exchange.lines.values() if li.flows is not None]
+                await wait_until(lambda: protocol.heard)
+            connection.reset()
+            if idempotency == "safe":
+                _, again = await first_connection(running)
                 assert b"one" in await again.read_request()
                 again.send(ok_response(b"other"))
                 assert (await answer).endswith(b"\r\n\r\nother")
             else:
                 assert int((await answer).split(b" ")[1]) == 502
-                assert sent(here) == 1
-            nothing_left(here)
+                assert attempts_received(running) == 1
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 def test_an_answer_without_a_length_is_ended_by_an_orderly_close() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            answer = await here.send_request(place_request("one"))
-            _, peer = await first_connection(here)
-            await peer.read_request()
-            peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it")
-            peer.writer.close()
+    async def scenario() -> None:
+        async with scene() as running:
+            answer = await running.send_request(place_request("one"))
+            _, connection = await first_connection(running)
+            await connection.read_request()
+            connection.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it")
+            connection.writer.close()
             assert (await answer).endswith(b"all of it")
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_a_long_answer_without_a_length_that_is_reset_is_not_taken_for_whole() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            reader, writer = await here.connect_client()
+def test_a_long_answer_without_a_length_that_is_reset_does_not_look_complete() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            reader, writer = await running.connect_client()
             writer.write(place_request("one"))
-            _, peer = await first_connection(here)
-            await peer.read_request()
-            peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * 200_000)
+            _, connection = await first_connection(running)
+            await connection.read_request()
+            connection.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * 200_000)
             await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 20)
-            await wait_until(lambda: here.state.streams)
-            peer.reset()
+            await wait_until(lambda: running.state.streams)
+            connection.reset()
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 # Framed in chunks, whose last never comes, or reset: its client can tell either way.
                 while True:
@@ -143,37 +147,37 @@
                     assert size, "its end must not look like a whole answer's"
                     await reader.readexactly(size + 2)
             writer.close()
-            await wait_until(lambda: not here.state.streams)
-            nothing_left(here)
+            await wait_until(lambda: not running.state.streams)
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_a_connection_reset_long_after_its_answer_is_not_used_and_breaks_nothing() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            answer = await here.send_request(check_request("one"))
-            _, peer = await first_connection(here)
-            await peer.read_request()
-            peer.send(ok_response(b"one"))
+def test_an_idle_connection_that_was_reset_is_not_used_and_breaks_nothing() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            answer = await running.send_request(check_request("one"))
+            _, connection = await first_connection(running)
+            await connection.read_request()
+            connection.send(ok_response(b"one"))
             await answer
-            here.pass_time(timedelta(seconds=2))
-            sock = peer.writer.get_extra_info("socket")
-            peer.reset()
+            running.pass_time(timedelta(seconds=2))
+            sock = connection.writer.get_extra_info("socket")
+            connection.reset()
             await wait_until(
                 lambda: sock.fileno() == -1
             )  # the reset is in the kernel, the ingress has not heard
-            other = await here.send_request(place_request("two"))
-            _, fresh = await first_connection(here)
+            other = await running.send_request(place_request("two"))
+            _, fresh = await first_connection(running)
             assert b"two" in await fresh.read_request()
             fresh.send(ok_response(b"two"))
             assert (await other).endswith(b"two")
-            assert here.state.statistics.attempts == 2
+            assert running.state.statistics.attempts == 2
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-SPOILT = {
+UNREADABLE_ANSWERS = {
     "noise": b"\x00\xff noise \r\n\r\n",
     "a head without end": b"HTTP/1.1 200 OK\r\nX: " + b"a" * 20_000,
     "endless 1xx": b"HTTP/1.1 102 Processing\r\n\r\n" * 4000,
@@ -182,255 +186,263 @@
 }
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_a_spoilt_answer_fails_what_may_have_run_and_harms_nobody_else(spoilt: str) -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            answer = await here.send_request(place_request("one"))
-            _, peer = await first_connection(here)
-            await peer.read_request()
-            peer.send(SPOILT[spoilt])
+@pytest.mark.parametrize("spoilt", UNREADABLE_ANSWERS)
+def test_an_unreadable_answer_fails_what_may_have_run_and_harms_nobody_else(spoilt: str) -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            answer = await running.send_request(place_request("one"))
+            _, connection = await first_connection(running)
+            await connection.read_request()
+            connection.send(UNREADABLE_ANSWERS[spoilt])
             assert int((await answer).split(b" ")[1]) == 502
-            assert sent(here) == 1 and await peer.read_to_end() == b""
-            nothing_left(here)
+            assert attempts_received(running) == 1 and await connection.read_to_end() == b""
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 def test_a_1xx_now_and_then_keeps_an_attempt_no_longer_than_its_time() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            answer = await here.send_request(place_request("one"))
-            _, peer = await first_connection(here)
-            await peer.read_request()
+    async def scenario() -> None:
+        async with scene() as running:
+            answer = await running.send_request(place_request("one"))
+            _, connection = await first_connection(running)
+            await connection.read_request()
             for _ in range(30):
-                if not here.state.requests:
+                if not running.state.requests:
                     break
-                peer.send(b"HTTP/1.1 102 Processing\r\n\r\n")
+                connection.send(b"HTTP/1.1 102 Processing\r\n\r\n")
                 await asyncio.sleep(0)
-                here.pass_time(100 * MS)
+                running.pass_time(100 * MS)
             assert int((await answer).split(b" ")[1]) in (502, 504)
-            nothing_left(here)
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize("late", [False, True])
 def test_a_keyed_repeat_waits_no_longer_than_its_window(late: bool) -> None:
     # The retry's own wait, for a stock node that could take it, outlasts the window.
-    async def what() -> None:
-        async with scene(server_count=2, settings=KEYED) as here:
-            answer = await here.send_request(place_request("one"))
-            number, peer = await first_connection(here)
-            await peer.read_request()
-            here.pass_time((310 if late else 100) * MS)
-            peer.reset()
+    async def scenario() -> None:
+        async with scene(server_count=2, settings=KEYED) as running:
+            answer = await running.send_request(place_request("one"))
+            number, connection = await first_connection(running)
+            await connection.read_request()
+            running.pass_time((310 if late else 100) * MS)
+            connection.reset()
             if late:
-                assert int((await answer).split(b" ")[1]) in (429, 502) and sent(here) == 1
+                assert int((await answer).split(b" ")[1]) in (429, 502) and attempts_received(running) == 1
             else:
-                other, again = await first_connection(here)
+                other, again = await first_connection(running)
                 assert other != number and b"one" in await again.read_request()
                 again.send(ok_response(b"one"))
                 assert (await answer).endswith(b"one")
-            nothing_left(here)
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 # --- the quota counter -------------------------------------------------------------------------------------
-async def call(peer: StandInConnection) -> tuple[str, float]:
+async def read_call(connection: StandInConnection) -> tuple[str, float]:
     """A call's name and amount."""
-    found = re.match(rb"POST /counters/([0-9a-f]+)\?by=([-0-9.]+)&", await peer.read_request())
+    found = re.match(rb"POST /counters/([0-9a-f]+)\?by=([-0-9.]+)&", await connection.read_request())
     assert found is not None
     return found[1].decode(), float(found[2])
 
 
-def total(value: float) -> bytes:
+def total_response(value: float) -> bytes:
     return ok_response(b"%g" % value)
 
 
-async def calls(here: Scene, count: int) -> list[tuple[StandInConnection, str, float]]:
+async def read_calls(running: Scene, count: int) -> list[tuple[StandInConnection, str, float]]:
     """The next calls, over however many connections."""
-    assert here.counter is not None
+    assert running.counter is not None
     found: list[tuple[StandInConnection, str, float]] = []
     reading: dict[asyncio.Task[tuple[str, float]], StandInConnection] = {}
-    opened = {asyncio.create_task(here.counter.next_connection())}
-    for peer in here.counter.all_connections:
-        reading[asyncio.create_task(call(peer))] = peer
+    opened = {asyncio.create_task(running.counter.next_connection())}
+    for connection in running.counter.all_connections:
+        reading[asyncio.create_task(read_call(connection))] = connection
     while len(found) < count:
         done, _ = await asyncio.wait({*opened, *reading}, return_when=asyncio.FIRST_COMPLETED, timeout=20)
         assert done, "no further call came"
         for task in done:
             if task in opened:
-                peer = task.result()  # type: ignore[assignment]
-                opened = {asyncio.create_task(here.counter.next_connection())}
-                if peer not in reading.values():
-                    reading[asyncio.create_task(call(peer))] = peer
+                connection = task.result()  # type: ignore[assignment]
+                opened = {asyncio.create_task(running.counter.next_connection())}
+                if connection not in reading.values():
+                    reading[asyncio.create_task(read_call(connection))] = connection
             elif task in reading:
-                peer = reading.pop(task)  # type: ignore[arg-type]
-                found.append((peer, *task.result()))  # type: ignore[misc]
+                connection = reading.pop(task)  # type: ignore[arg-type]
+                found.append((connection, *task.result()))  # type: ignore[misc]
     for task in (*opened, *reading):
         task.cancel()
     return found
 
 
-def test_a_client_that_leaves_before_the_counters_answer_is_not_sent_on_and_its_units_come_back() -> None:
-    async def what() -> None:
-        async with scene(settings=SETTINGS) as here:
-            _, writer = await here.connect_client()
+def test_a_client_that_leaves_before_the_counter_answers_is_not_forwarded_and_its_units_are_refunded() -> (
+    None
+):
+    async def scenario() -> None:
+        async with scene(settings=SETTINGS) as running:
+            _, writer = await running.connect_client()
             writer.write(place_request("one"))
-            ((peer, name, amount),) = await calls(here, 1)
+            ((connection, name, amount),) = await read_calls(running, 1)
             assert amount == 2
             writer.close()
-            await wait_until(lambda: not here.state.requests)
-            peer.send(total(2.0))
-            ((_, again, back),) = await calls(here, 1)
+            await wait_until(lambda: not running.state.requests)
+            connection.send(total_response(2.0))
+            ((_, again, back),) = await read_calls(running, 1)
             assert (again, back) == (name, -2.0), "what was charged and not sent is refunded, once"
-            peer.send(total(0.0))
+            connection.send(total_response(0.0))
             await wait_until(
-                lambda: not any(line.unanswered_calls for line in here.state.counter_connections.values())
+                lambda: (
+                    not any(
+                        protocol.unanswered_calls for protocol in running.state.counter_connections.values()
+                    )
+                )
             )
-            here.pass_time(timedelta(seconds=1))
-            assert sent(here) == 0
-            nothing_left(here)
-
-    run_scene(what)
-
-
-def test_a_counter_that_moves_with_calls_unanswered_loses_no_request_and_answers_none_twice() -> None:
-    async def what() -> None:
-        async with scene(settings=SETTINGS) as here:
-            assert here.counter is not None
-            answer = await here.send_request(place_request("one"))
-            ((old, name, _),) = await calls(here, 1)
-            moved = here.counter = await type(here.counter)().start()
-            here.exchange.report(AddressesChanged(moved.address, here.state.server_list_address))
-            old.send(total(2.0))  # on its way as the connection is left
-            ((new, again, amount),) = await calls(here, 1)
+            running.pass_time(timedelta(seconds=1))
+            assert attempts_received(running) == 0
+            assert_nothing_left(running)
+
+    run_scene(scenario)
+
+
+def test_a_counter_that_moves_with_unanswered_calls_loses_no_request_and_answers_none_twice() -> None:
+    async def scenario() -> None:
+        async with scene(settings=SETTINGS) as running:
+            assert running.counter is not None
+            answer = await running.send_request(place_request("one"))
+            ((old, name, _),) = await read_calls(running, 1)
+            moved = running.counter = await type(running.counter)().start()
+            running.exchange.report(AddressesChanged(moved.address, running.state.server_list_address))
+            old.send(total_response(2.0))  # on its way as the connection is left
+            ((new, again, amount),) = await read_calls(running, 1)
             assert (again, amount) == (name, 0.0), "the total is read once more, and nothing charged twice"
-            new.send(total(2.0))
-            reading = asyncio.create_task(calls(here, 1))  # of the last window
-            _, node = await first_unless(here, reading)
+            new.send(total_response(2.0))
+            reading = asyncio.create_task(read_calls(running, 1))  # of the last window
+            _, node = await first_connection_unless_read(running, reading)
             await node.read_request()
             node.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
-            nothing_left(here)
+            assert_nothing_left(running)
             moved.close()
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_a_counter_that_answers_after_its_time_is_not_heard_for_the_next_call() -> None:
-    async def what() -> None:
-        async with scene(settings=SETTINGS) as here:
-            answer = await here.send_request(place_request("one"))
-            ((peer, name, _),) = await calls(here, 1)
-            here.pass_time(100 * MS)  # past its time: the decisions go on alone
-            _, node = await first_connection(here)
+def test_a_late_counter_answer_is_not_taken_for_the_next_call() -> None:
+    async def scenario() -> None:
+        async with scene(settings=SETTINGS) as running:
+            answer = await running.send_request(place_request("one"))
+            ((connection, name, _),) = await read_calls(running, 1)
+            running.pass_time(100 * MS)  # past its time: the decisions go on alone
+            _, node = await first_connection(running)
             await node.read_request()
             node.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
-            here.exchange.reducer.gateway.ask = 1.0  # as if the counter were well again
-            other = await here.send_request(place_request("two"))
-            ((same, again, _),) = await calls(here, 1)
-            assert same is peer and again == name
-            peer.send(total(45.0))  # the first call's, late: nothing of the quota would be left
-            (line,) = here.state.counter_connections.values()
-            await wait_until(lambda: len(line.unanswered_calls) == 1)
-            peer.send(total(4.0))
-            reading = asyncio.create_task(calls(here, 1))  # of the last window
-            await wait_until(lambda: here.state.attempts or reading.done())
+            running.exchange.reducer.gateway.ask = 1.0  # as if the counter were well again
+            other = await running.send_request(place_request("two"))
+            ((same, again, _),) = await read_calls(running, 1)
+            assert same is connection and again == name
+            connection.send(
+                total_response(45.0)
+            )  # the first call's, late: nothing of the quota would be left
+            (protocol,) = running.state.counter_connections.values()
+            await wait_until(lambda: len(protocol.unanswered_calls) == 1)
+            connection.send(total_response(4.0))
+            reading = asyncio.create_task(read_calls(running, 1))  # of the last window
+            await wait_until(lambda: running.state.attempts or reading.done())
             if reading.done():
                 reading.result()[0][0].send(ok_response(b"0"))
             second = (
-                await asyncio.wait_for(node.read_request(), 20) if not here.state.idle_connections else b""
+                await asyncio.wait_for(node.read_request(), 20) if not running.state.idle_connections else b""
             )
             if not second:
-                _, fresh = await first_connection(here)
+                _, fresh = await first_connection(running)
                 second, node = await fresh.read_request(), fresh
             assert b"two" in second
             node.send(ok_response(b"two"))
             assert (await other).endswith(b"two")
             reading.cancel()
-            nothing_left(here)
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 # --- clients that leave ------------------------------------------------------------------------------------
-async def leaving(here: Scene, names: list[str]) -> list[asyncio.StreamWriter]:
+async def send_requests(running: Scene, names: list[str]) -> list[asyncio.StreamWriter]:
     writers = []
     for n, name in enumerate(names):
-        _, writer = await here.connect_client()
+        _, writer = await running.connect_client()
         writer.write(place_request(name).replace(b"b4d65521", b"%08x" % n))  # an account of its own
         writers.append(writer)
-    await wait_until(lambda: len(here.state.requests) == len(names))
+    await wait_until(lambda: len(running.state.requests) == len(names))
     return writers
 
 
-def test_clients_that_leave_in_a_burst_while_no_node_is_there_are_not_sent_on() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            watch = await here.server_list.next_connection()
+def test_clients_that_leave_in_a_burst_while_no_server_is_listed_are_not_forwarded() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            watch = await running.server_list.next_connection()
             await watch.read_request()
             watch.send(ok_response(b'{"seq":8,"whole":true,"hosts":[]}'))
-            await wait_until(lambda: here.state.list_version == 8)
+            await wait_until(lambda: running.state.list_version == 8)
             names = [f"id-{n}" for n in range(40)]
-            writers = await leaving(here, names)
+            writers = await send_requests(running, names)
             for writer in writers:
                 writer.transport.abort()
-            await wait_until(lambda: not here.state.requests)
-            entry = here.list_entry(0)
+            await wait_until(lambda: not running.state.requests)
+            entry = running.list_entry(0)
             watch.send(
                 ok_response(
                     b'{"seq":9,"whole":true,"hosts":[{"host":"%s","dial":"%s","health":"in_service"}]}'
                     % (entry["host"].encode(), entry["dial"].encode())
                 )
             )
-            await wait_until(lambda: here.state.list_version == 9)
-            here.pass_time(timedelta(seconds=1))
-            answer = await here.send_request(place_request("last"))
-            _, peer = await first_connection(here)
-            assert b"last" in await peer.read_request()
-            peer.send(ok_response(b"last"))
+            await wait_until(lambda: running.state.list_version == 9)
+            running.pass_time(timedelta(seconds=1))
+            answer = await running.send_request(place_request("last"))
+            _, connection = await first_connection(running)
+            assert b"last" in await connection.read_request()
+            connection.send(ok_response(b"last"))
             await answer
-            assert sent(here) == 1 and here.state.statistics.attempts == 1
-            nothing_left(here)
+            assert attempts_received(running) == 1 and running.state.statistics.attempts == 1
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_a_client_that_leaves_during_its_attempt_is_not_sent_on_again() -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            _, writer = await here.connect_client()
+def test_a_client_that_leaves_during_its_attempt_gets_no_second_attempt() -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            _, writer = await running.connect_client()
             writer.write(check_request("one"))
-            _, peer = await first_connection(here)
-            await peer.read_request()
+            _, connection = await first_connection(running)
+            await connection.read_request()
             writer.transport.abort()
-            peer.reset()  # in the same turn: what comes first must not matter
-            await wait_until(lambda: not here.state.requests)
-            here.pass_time(timedelta(seconds=1))
-            assert sent(here) == 1
-            nothing_left(here)
+            connection.reset()  # in the same turn: what comes first must not matter
+            await wait_until(lambda: not running.state.requests)
+            running.pass_time(timedelta(seconds=1))
+            assert attempts_received(running) == 1
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize("how", ["a close", "a reset"])
-def test_a_client_that_leaves_while_its_long_body_lies_unread_is_not_sent_on(how: str) -> None:
+def test_a_client_that_leaves_while_its_long_body_is_unread_is_not_forwarded(how: str) -> None:
     # What waits for a node is read no further, and the loop would meet the client's end by reading alone.
     begun, rest = 70 * 1024, 620 * 1024  # what is held of it, and what lies here and there
 
-    async def what() -> None:
-        async with scene() as here:
-            here.exchange.gate.clear()
-            _, writer = await here.connect_client()
+    async def scenario() -> None:
+        async with scene() as running:
+            running.exchange.gate.clear()
+            _, writer = await running.connect_client()
             whole = harness.request("POST", "/place-order", b"x" * (begun + rest), left="2.0", name="one")
             writer.write(whole[:-rest])
-            await wait_until(lambda: here.state.requests)
+            await wait_until(lambda: running.state.requests)
             writer.write(whole[-rest:])
-            (connection,) = here.clients.numbers
+            (connection,) = running.clients.numbers
             await wait_until(
                 lambda: connection.transport is not None and not connection.transport.is_reading()
             )
@@ -439,111 +451,111 @@
                 writer.close()
             else:
                 StandInConnection(asyncio.StreamReader(), writer).reset()
-            await wait_until(lambda: not here.state.requests)
-            here.exchange.gate.set()
-            here.pass_time(100 * MS)
-            assert here.state.statistics.attempts == 0
-            nothing_left(here)
+            await wait_until(lambda: not running.state.requests)
+            running.exchange.gate.set()
+            running.pass_time(100 * MS)
+            assert running.state.statistics.attempts == 0
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize("ends", ["its sending side", "with a request behind"])
-def test_a_client_that_has_ended_is_gone(ends: str) -> None:
+def test_a_client_that_has_ended_its_connection_is_noticed(ends: str) -> None:
     # The end of the sending side cannot be told from a close; what stands behind is not read any more.
-    async def what() -> None:
-        async with scene() as here:
-            here.exchange.gate.clear()
-            _, writer = await here.connect_client()
+    async def scenario() -> None:
+        async with scene() as running:
+            running.exchange.gate.clear()
+            _, writer = await running.connect_client()
             writer.write(
                 place_request("one") + (place_request("two") if ends == "with a request behind" else b"")
             )
-            await wait_until(lambda: here.state.requests)
+            await wait_until(lambda: running.state.requests)
             if ends == "its sending side":
                 writer.write_eof()
             else:
                 writer.close()
-            await wait_until(lambda: not here.state.requests)
-            here.exchange.gate.set()
-            await wait_until(lambda: not here.clients.numbers)
-            here.pass_time(100 * MS)
-            assert here.state.statistics.attempts == 0
-            nothing_left(here)
+            await wait_until(lambda: not running.state.requests)
+            running.exchange.gate.set()
+            await wait_until(lambda: not running.clients.numbers)
+            running.pass_time(100 * MS)
+            assert running.state.statistics.attempts == 0
+            assert_nothing_left(running)
             writer.close()
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize("end", ["close", "reset", "half"])
-def test_a_client_that_went_before_its_request_was_read_gets_no_attempt(end: str) -> None:
-    async def what() -> None:
-        async with scene() as here:
-            first = await here.send_request(check_request("first"))
-            peer = await here.servers[0].next_connection()
-            await peer.read_request()
-            peer.send(ok_response(b"first"))
+def test_a_client_that_left_before_its_request_was_read_gets_no_attempt(end: str) -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            first = await running.send_request(check_request("first"))
+            connection = await running.servers[0].next_connection()
+            await connection.read_request()
+            connection.send(ok_response(b"first"))
             assert (await first).endswith(b"first")
-            await wait_until(lambda: not here.clients.numbers)
-            here.pass_time(30 * MS)  # its connection to the node can be used at once
-            assert here.clients.listener is not None
+            await wait_until(lambda: not running.clients.numbers)
+            running.pass_time(30 * MS)  # its connection to the node can be used at once
+            assert running.clients.listener is not None
             # All in one turn: the loop finds a request and its client's end.
-            late = socket.create_connection(here.clients.listener.address)
+            late = socket.create_connection(running.clients.listener.address)
             late.send(check_request("late"))
             if end == "reset":
                 late.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             late.shutdown(socket.SHUT_WR) if end == "half" else late.close()
-            await wait_until(lambda: here.clients.connection == 2 and not here.clients.numbers)
-            assert here.state.statistics.attempts == 1 and not here.state.requests
-            ended = asyncio.create_task(peer.reader.read())
+            await wait_until(lambda: running.clients.connection == 2 and not running.clients.numbers)
+            assert running.state.statistics.attempts == 1 and not running.state.requests
+            ended = asyncio.create_task(connection.reader.read())
             await asyncio.sleep(0)
             assert not ended.done() or ended.result() == b"", "it was sent on"
             ended.cancel()
             late.close()
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_clients_that_send_much_at_once_and_go_leave_nothing_and_others_are_answered() -> None:
-    async def what() -> None:
-        async with scene(max_clients=60, max_requests=40) as here:
-            assert here.clients.listener is not None
-            at = here.clients.listener.address
+def test_clients_that_flood_and_leave_leave_nothing_behind_and_others_are_answered() -> None:
+    async def scenario() -> None:
+        async with scene(max_clients=60, max_requests=40) as running:
+            assert running.clients.listener is not None
+            at = running.clients.listener.address
             floods = []
             for n in range(20):
                 flood = socket.create_connection(at)
                 flood.setblocking(False)
                 flood.send(b"".join(place_request(f"id-{n}-{m}") for m in range(60)))
                 floods.append(flood)
-            await wait_until(lambda: here.clients.connection == 20 and here.state.requests)
-            assert len(here.state.requests) <= 40
+            await wait_until(lambda: running.clients.connection == 20 and running.state.requests)
+            assert len(running.state.requests) <= 40
             for flood in floods:
                 flood.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 flood.close()
             # Whether an end is read before another's request in one turn of the loop is the system's order.
-            await wait_until(lambda: not here.clients.numbers)
-            answer = await here.send_request(check_request("good").replace(b"b4d65521", b"00000001"))
-            good = asyncio.create_task(_serve(here))
+            await wait_until(lambda: not running.clients.numbers)
+            answer = await running.send_request(check_request("good").replace(b"b4d65521", b"00000001"))
+            good = asyncio.create_task(_answer_with_correlation_id(running))
             assert (await answer).endswith(b"good")
             good.cancel()
-            await wait_until(lambda: not here.state.requests and not here.clients.numbers)
-            nothing_left(here)
+            await wait_until(lambda: not running.state.requests and not running.clients.numbers)
+            assert_nothing_left(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-async def _serve(here: Scene) -> None:
+async def _answer_with_correlation_id(running: Scene) -> None:
     """The stock node answers everyone with the id that it was asked under."""
 
-    async def talk(peer: StandInConnection) -> None:
+    async def talk(connection: StandInConnection) -> None:
         while True:
             try:
-                data = await harness.read_request(peer.reader)
+                data = await harness.read_request(connection.reader)
             except (asyncio.IncompleteReadError, ConnectionError):
                 return
             found = re.search(rb"X-Correlation-Id: (\S+)", data)
             assert found is not None
-            peer.send(ok_response(found[1]))
+            connection.send(ok_response(found[1]))
 
     tasks = set()
     while True:
-        tasks.add(asyncio.create_task(talk(await here.servers[0].new_connections.get())))
+        tasks.add(asyncio.create_task(talk(await running.servers[0].new_connections.get())))
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -12,30 +12,30 @@
 import pytest
 
 from opalgauge.memory.events import CloseIdleRequested, DrainRequested
-from opalgauge.wire import clients as wire
+from opalgauge.wire import clients as clients
 from tests import harness
 from tests.crossing import Scene, check_request, ok_response, run_scene, scene, wait_until
 
 
-class Caller:
+class Client:
     """A client whose bytes are in the kernel before the ingress's loop turns again."""
 
-    def __init__(self, here: Scene, small: bool = False) -> None:
-        assert here.clients.listener is not None
+    def __init__(self, running: Scene, small_buffer: bool = False) -> None:
+        assert running.clients.listener is not None
         self.socket = socket.socket()
-        if small:  # so that most of an answer waits at the ingress
+        if small_buffer:  # so that most of an answer waits at the ingress
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        self.socket.connect(here.clients.listener.address)
+        self.socket.connect(running.clients.listener.address)
         self.socket.setblocking(False)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         assert self.socket.send(data) == len(data)
 
-    def say_much(self, data: bytes) -> None:
+    def flood(self, data: bytes) -> None:
         """More than a turn of the loop reads, as far as the kernel takes it."""
         assert self.socket.send(data + b"x" * 4_000_000) > 300_000
 
-    async def heard(self) -> None:
+    async def wait_for_data(self) -> None:
         """Something has come."""
 
         def some() -> bool:
@@ -46,14 +46,14 @@
 
         await wait_until(some)
 
-    async def answer(self) -> bytes:
+    async def read_answer(self) -> bytes:
         reader, writer = await asyncio.open_connection(sock=self.socket)
         try:
             return await asyncio.wait_for(harness.read_request(reader), 20)
         finally:
             writer.close()
 
-    async def rest(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """All up to the connection's end, which must be no reset."""
         reader, writer = await asyncio.open_connection(sock=self.socket)
         try:
@@ -62,168 +62,170 @@
             writer.close()
 
 
-def idle_limit(here: Scene) -> None:
-    here.pass_time(timedelta(seconds=3))
+def reach_idle_timeout(running: Scene) -> None:
+    running.pass_time(timedelta(seconds=3))
 
 
-def drain(here: Scene) -> None:
-    here.clients.last = True
-    here.exchange.report(DrainRequested())
-    here.exchange.report(CloseIdleRequested())
+def start_drain(running: Scene) -> None:
+    running.clients.last = True
+    running.exchange.report(DrainRequested())
+    running.exchange.report(CloseIdleRequested())
 
 
-async def served(here: Scene, name: str, took: float = 0.0) -> None:
+async def serve_request(running: Scene, name: str, duration: float = 0.0) -> None:
     """The one stock node gets that request, and answers it."""
     while True:
-        peer = await here.servers[0].next_connection()
-        if name.encode() in await peer.read_request():
-            await asyncio.sleep(took)
-            peer.send(ok_response(name.encode()))
+        connection = await running.servers[0].next_connection()
+        if name.encode() in await connection.read_request():
+            await asyncio.sleep(duration)
+            connection.send(ok_response(name.encode()))
             return
 
 
-ENDS = pytest.mark.parametrize("end", [idle_limit, drain])
+ENDS = pytest.mark.parametrize("end", [reach_idle_timeout, start_drain])
 
 
 @ENDS
-def test_a_request_that_lies_unread_when_its_connection_is_to_be_closed_is_answered(
+def test_an_unread_request_on_a_connection_about_to_be_closed_is_answered(
     end: Callable[[Scene], None],
 ) -> None:
     # Guards it against the reset of a close over unread bytes.
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here)
-            await wait_until(lambda: here.state.clients_new)
-            caller.say(check_request("one"))
-            end(here)
-            await served(here, "one")
-            assert (await caller.answer()).endswith(b"one")
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running)
+            await wait_until(lambda: running.state.clients_new)
+            client.send(check_request("one"))
+            end(running)
+            await serve_request(running, "one")
+            assert (await client.read_answer()).endswith(b"one")
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @ENDS
-def test_a_connection_with_nothing_on_it_is_closed(end: Callable[[Scene], None]) -> None:
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here)
-            await wait_until(lambda: here.state.clients_new)
-            end(here)
-            assert await caller.rest() == b""
-
-    run_scene(what)
-
-
-def test_a_head_in_two_halves_round_the_shutdown_is_answered() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            caller, data = Caller(here), check_request("one")
-            caller.say(data[:40])
-            await wait_until(lambda: here.state.clients_sending_head)
-            drain(here)
-            assert not here.exited, "somebody is still asking"
-            caller.say(data[40:])
-            await served(here, "one")
-            answer = await caller.answer()
+def test_a_connection_with_nothing_unread_is_closed(end: Callable[[Scene], None]) -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running)
+            await wait_until(lambda: running.state.clients_new)
+            end(running)
+            assert await client.read_to_end() == b""
+
+    run_scene(scenario)
+
+
+def test_a_request_head_split_by_the_drain_is_answered() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            client, data = Client(running), check_request("one")
+            client.send(data[:40])
+            await wait_until(lambda: running.state.clients_sending_head)
+            start_drain(running)
+            assert not running.exited, "somebody is still asking"
+            client.send(data[40:])
+            await serve_request(running, "one")
+            answer = await client.read_answer()
             assert answer.endswith(b"one") and b"connection: close" in answer.lower()
-            await wait_until(lambda: here.exited)
-
-    run_scene(what)
-
-
-def test_half_a_head_holds_up_no_shutdown_for_long() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here)
-            caller.say(check_request("one")[:40])
-            await wait_until(lambda: here.state.clients_sending_head)
-            drain(here)
-            here.pass_time(timedelta(seconds=3))
-            assert here.exited and await caller.rest() == b""
-
-    run_scene(what)
-
-
-def test_what_waits_to_be_accepted_when_listening_stops_is_answered() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            callers = {name: Caller(here) for name in ("one", "two")}
-            for name, caller in callers.items():
-                caller.say(check_request(name))
-            drain(here)  # before the loop has turned
-            closing = asyncio.create_task(here.clients.close())
-            for _ in callers:
-                peer = await here.servers[0].next_connection()
-                data = await peer.read_request()
-                peer.send(ok_response(b"one" if b"one" in data else b"two"))
-            for name, caller in callers.items():
-                assert (await caller.answer()).endswith(name.encode())
+            await wait_until(lambda: running.exited)
+
+    run_scene(scenario)
+
+
+def test_half_a_request_head_does_not_delay_the_drain_for_long() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running)
+            client.send(check_request("one")[:40])
+            await wait_until(lambda: running.state.clients_sending_head)
+            start_drain(running)
+            running.pass_time(timedelta(seconds=3))
+            assert running.exited and await client.read_to_end() == b""
+
+    run_scene(scenario)
+
+
+def test_connections_waiting_to_be_accepted_when_listening_stops_are_answered() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            clients_by_name = {name: Client(running) for name in ("one", "two")}
+            for name, client in clients_by_name.items():
+                client.send(check_request(name))
+            start_drain(running)  # before the loop has turned
+            closing = asyncio.create_task(running.clients.close())
+            for _ in clients_by_name:
+                connection = await running.servers[0].next_connection()
+                data = await connection.read_request()
+                connection.send(ok_response(b"one" if b"one" in data else b"two"))
+            for name, client in clients_by_name.items():
+                assert (await client.read_answer()).endswith(name.encode())
             await closing
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_a_request_that_nobody_has_read_when_nothing_seems_owed_is_answered() -> None:
+def test_a_request_unread_at_the_decision_to_exit_is_answered() -> None:
     # Guards the turns between the choice to leave and the end: a request may be read in any of them.
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here)
-            await wait_until(lambda: here.state.clients_new)
-            caller.say(check_request("late"))
-            drain(here)
-            assert here.exited
-            serving = asyncio.create_task(served(here, "late", took=0.3))  # longer than a forced end waits
-            await here.clients.close()  # its first step is taken before the loop has turned
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running)
+            await wait_until(lambda: running.state.clients_new)
+            client.send(check_request("late"))
+            start_drain(running)
+            assert running.exited
+            serving = asyncio.create_task(
+                serve_request(running, "late", duration=0.3)
+            )  # longer than a forced end waits
+            await running.clients.close()  # its first step is taken before the loop has turned
             await serving
-            assert (await caller.answer()).endswith(b"late")
+            assert (await client.read_answer()).endswith(b"late")
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 BODY = b"x" * 60_000
 
 
-async def last_answer(here: Scene, caller: Caller) -> None:
+async def start_last_answer(running: Scene, client: Client) -> None:
     """The ingress is leaving, and has begun to write its last, long answer to that caller."""
-    caller.say(check_request("one"))
-    peer = await here.servers[0].next_connection()
-    await peer.read_request()
-    here.clients.last = True
-    here.exchange.report(DrainRequested())
-    peer.send(ok_response(BODY))
-    await caller.heard()
+    client.send(check_request("one"))
+    connection = await running.servers[0].next_connection()
+    await connection.read_request()
+    running.clients.last = True
+    running.exchange.report(DrainRequested())
+    connection.send(ok_response(BODY))
+    await client.wait_for_data()
 
 
 def test_bytes_behind_a_last_answer_do_not_destroy_it() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here, small=True)
-            await last_answer(here, caller)
-            caller.say(b"and more")
-            await wait_until(lambda: not here.clients.busy)
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running, small_buffer=True)
+            await start_last_answer(running, client)
+            client.send(b"and more")
+            await wait_until(lambda: not running.clients.busy)
             for _ in range(100):
                 await asyncio.sleep(0)
-            caller.say(b"and yet more")
-            assert (await caller.rest()).endswith(BODY)
-            await wait_until(lambda: not here.clients.numbers)
+            client.send(b"and yet more")
+            assert (await client.read_to_end()).endswith(BODY)
+            await wait_until(lambda: not running.clients.numbers)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_what_is_read_behind_a_last_answer_is_not_sent_on() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here, small=True)
-            await last_answer(here, caller)
-            ((connection, _),) = here.clients.numbers.items()
-            assert isinstance(connection, wire.Handler)
-            caller.say(check_request("behind"))
+def test_a_request_behind_a_last_answer_is_not_forwarded() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running, small_buffer=True)
+            await start_last_answer(running, client)
+            ((connection, _),) = running.clients.numbers.items()
+            assert isinstance(connection, clients.Handler)
+            client.send(check_request("behind"))
             await wait_until(lambda: connection.dropped)
             assert not connection._messages, "it is not even read as a request"
-            assert (await caller.rest()).endswith(BODY)
-            assert not here.state.requests and here.state.statistics.attempts == 1
+            assert (await client.read_to_end()).endswith(BODY)
+            assert not running.state.requests and running.state.statistics.attempts == 1
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize(
@@ -236,88 +238,88 @@
     ],
     ids=["too long", "unknown", "no request", "to be closed"],
 )
-def test_a_malformed_request_is_answered_by_an_answer_and_an_orderly_end(data: bytes) -> None:
+def test_a_malformed_request_gets_an_answer_and_an_orderly_close(data: bytes) -> None:
     # Guards its client, which still writes, against a reset in place of the answer.
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here)
-            caller.say_much(data)
-            answer = await caller.rest()
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running)
+            client.flood(data)
+            answer = await client.read_to_end()
             assert answer[9:10] == b"4" and answer.count(b"HTTP/1.") == 1
-            await wait_until(lambda: not here.clients.numbers)
+            await wait_until(lambda: not running.clients.numbers)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_a_client_that_floods_is_not_read_for_ever_and_not_held_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(wire, "LINGER", 0.05)
+def test_a_client_that_floods_is_not_read_for_ever_and_not_kept_open(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(clients, "LINGER", 0.05)
 
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here)
-            caller.say(b"no request at all\r\n\r\n")
-            await caller.heard()
-            ((connection, _),) = here.clients.numbers.items()
-            assert isinstance(connection, wire.Handler)
-            while here.clients.numbers:
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running)
+            client.send(b"no request at all\r\n\r\n")
+            await client.wait_for_data()
+            ((connection, _),) = running.clients.numbers.items()
+            assert isinstance(connection, clients.Handler)
+            while running.clients.numbers:
                 try:
-                    caller.socket.send(b"x" * 65_536)
+                    client.socket.send(b"x" * 65_536)
                 except BlockingIOError:
                     pass
                 except OSError:
                     break  # it has been ended
                 await asyncio.sleep(0)
-            await wait_until(lambda: not here.clients.numbers)
-            assert connection.dropped < wire.MOST_LINGER + 1024 * 1024
-            caller.socket.close()
+            await wait_until(lambda: not running.clients.numbers)
+            assert connection.dropped < clients.MOST_LINGER + 1024 * 1024
+            client.socket.close()
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_an_ingress_that_leaves_waits_for_a_client_that_takes_its_last_answer_slowly() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here, small=True)
-            await wait_until(lambda: here.clients.numbers)
-            ((connection, _),) = here.clients.numbers.items()
+def test_an_exiting_ingress_waits_for_a_client_that_reads_its_last_answer_slowly() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running, small_buffer=True)
+            await wait_until(lambda: running.clients.numbers)
+            ((connection, _),) = running.clients.numbers.items()
             assert connection.transport is not None
             held = connection.transport.get_extra_info("socket")
             held.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            await last_answer(here, caller)
-            here.exchange.report(CloseIdleRequested())
-            assert here.exited
-            closing = asyncio.create_task(here.clients.close())
+            await start_last_answer(running, client)
+            running.exchange.report(CloseIdleRequested())
+            assert running.exited
+            closing = asyncio.create_task(running.clients.close())
             _, pending = await asyncio.wait([closing], timeout=0.3)
             assert pending, "all of it would be lost with the process"
-            assert (await caller.rest()).endswith(BODY)
+            assert (await client.read_to_end()).endswith(BODY)
             await closing
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_small_writes_are_not_held_back() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            caller = Caller(here)
-            caller.say(check_request("one"))
-            peer = await here.servers[0].next_connection()
-            await peer.read_request()
-            opened = [line.transport for line in here.exchange.lines.values()]
-            accepted = [connection.transport for connection in here.clients.numbers]
+def test_nagles_algorithm_is_off() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            client = Client(running)
+            client.send(check_request("one"))
+            connection = await running.servers[0].next_connection()
+            await connection.read_request()
+            opened = [line.transport for line in running.exchange.lines.values()]
+            accepted = [connection.transport for connection in running.clients.numbers]
             assert len(opened) >= 2 and len(accepted) == 1
             for transport in (*opened, *accepted):
                 assert transport is not None
                 held = transport.get_extra_info("socket")
                 assert held.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0
-            peer.send(ok_response(b"one"))
-            assert (await caller.answer()).endswith(b"one")
+            connection.send(ok_response(b"one"))
+            assert (await client.read_answer()).endswith(b"one")
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_one_that_is_asked_to_stop_while_it_starts_serves_nobody(tmp_path: Path) -> None:
+def test_an_ingress_stopped_while_it_starts_serves_nobody(tmp_path: Path) -> None:
     # An old process that is there and says nothing holds up the start; SIGTERM comes meanwhile.
-    async def what() -> None:
+    async def scenario() -> None:
         asked, release = asyncio.Event(), asyncio.Event()
 
         async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -342,4 +344,4 @@
         server.close()
         listener.close()
 
-    run_scene(what)
+    run_scene(scenario)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -25,41 +25,41 @@
 )
 
 
-async def asked(here: Scene, party: StandIn | None = None) -> tuple[StandInConnection, str]:
+async def next_list_request(running: Scene, stand_in: StandIn | None = None) -> tuple[StandInConnection, str]:
     """The next connection for a watch, and what is asked over it."""
-    peer = await (party or here.server_list).next_connection()
-    return peer, await question(peer)
+    connection = await (stand_in or running.server_list).next_connection()
+    return connection, await read_list_request(connection)
 
 
-async def question(peer: StandInConnection) -> str:
-    return (await peer.read_request()).split(b" ")[1].decode()
+async def read_list_request(connection: StandInConnection) -> str:
+    return (await connection.read_request()).split(b" ")[1].decode()
 
 
-async def dripped(line: LineProtocol, count: int) -> None:
-    await wait_until(lambda: line.over or line.heard.endswith(b" " * count))
+async def wait_for_drips(protocol: LineProtocol, count: int) -> None:
+    await wait_until(lambda: protocol.over or protocol.heard.endswith(b" " * count))
 
 
-async def gone(here: Scene, line: int) -> None:
-    await wait_until(lambda: line not in here.state.connections)
+async def wait_until_closed(running: Scene, connection_id: int) -> None:
+    await wait_until(lambda: connection_id not in running.state.connections)
 
 
-def moved(here: Scene, address: str) -> None:
-    here.exchange.report(AddressesChanged(here.state.counter_address, address))
+def move_list_agent(running: Scene, address: str) -> None:
+    running.exchange.report(AddressesChanged(running.state.counter_address, address))
 
 
-async def goes_to(here: Scene, number: int) -> None:
+async def assert_forwarded_to(running: Scene, server_number: int) -> None:
     """A new request is sent to that stock node and to no other."""
-    before = [len(p.all_connections) for p in here.servers]
-    answer = await here.send_request(place_request(f"new-{number}"))
-    peer = await here.servers[number].next_connection()
-    await peer.read_request()
-    after = [len(p.all_connections) for p in here.servers]
-    assert [n for n in range(len(before)) if after[n] > before[n]] == [number]
-    peer.send(ok_response(b"done"))
+    before = [len(p.all_connections) for p in running.servers]
+    answer = await running.send_request(place_request(f"new-{server_number}"))
+    connection = await running.servers[server_number].next_connection()
+    await connection.read_request()
+    after = [len(p.all_connections) for p in running.servers]
+    assert [n for n in range(len(before)) if after[n] > before[n]] == [server_number]
+    connection.send(ok_response(b"done"))
     assert (await answer).endswith(b"done")
 
 
-BEGINNINGS = {
+ANSWER_BEGINNINGS = {
     "nothing": b"",
     "half a head": b"HTTP/1.1 200 O",
     "half a list": b'HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{"seq":9,"whole":tr',
@@ -69,106 +69,110 @@
 
 
 @pytest.mark.parametrize("wait", [1, 20], ids=["pushed", "asked for"])
-@pytest.mark.parametrize("beginning", BEGINNINGS)
-def test_a_watch_that_falls_silent_is_replaced_within_its_time(beginning: str, wait: int) -> None:
-    async def what() -> None:
-        async with scene(list_wait=timedelta(seconds=wait)) as here:
-            watch, first = await asked(here)
-            heard = len(BEGINNINGS[beginning])
-            watch.send(BEGINNINGS[beginning])
+@pytest.mark.parametrize("beginning", ANSWER_BEGINNINGS)
+def test_a_silent_list_connection_is_replaced_within_its_time(beginning: str, wait: int) -> None:
+    async def scenario() -> None:
+        async with scene(list_wait=timedelta(seconds=wait)) as running:
+            list_connection, first = await next_list_request(running)
+            heard = len(ANSWER_BEGINNINGS[beginning])
+            list_connection.send(ANSWER_BEGINNINGS[beginning])
             if heard:
-                line = here.exchange.lines[here.state.list_connection_id]
+                line = running.exchange.lines[running.state.list_connection_id]
                 await wait_until(lambda: len(line.heard) >= heard or line.halting or beginning == "only 1xx")
-            here.pass_time(timedelta(seconds=wait) + 500 * MS)
-            here.pass_time(150 * MS)
-            other, again = await asked(here)
+            running.pass_time(timedelta(seconds=wait) + 500 * MS)
+            running.pass_time(150 * MS)
+            other, again = await next_list_request(running)
             assert again == first, "it goes on from what is known"
-            assert await watch.read_to_end() == b""
-            answer_list(other, 8, here.list_entry(0))
-            await wait_until(lambda: here.state.list_version == 8)
+            assert await list_connection.read_to_end() == b""
+            answer_list(other, 8, running.list_entry(0))
+            await wait_until(lambda: running.state.list_version == 8)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 def test_a_list_that_drips_for_ever_is_replaced_too() -> None:
     # Guards against a silence timer that every byte sets back.
-    async def what() -> None:
-        async with scene() as here:
-            watch, _ = await asked(here)
-            watch.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-            line = here.exchange.lines[here.state.list_connection_id]
+    async def scenario() -> None:
+        async with scene() as running:
+            list_connection, _ = await next_list_request(running)
+            list_connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
+            line = running.exchange.lines[running.state.list_connection_id]
             for n in range(1, 30):
-                if here.state.list_connection_id != line.number or line.over:
+                if running.state.list_connection_id != line.number or line.over:
                     break
-                watch.send(b" ")
-                await dripped(line, n)
-                here.pass_time(60 * MS)
+                list_connection.send(b" ")
+                await wait_for_drips(line, n)
+                running.pass_time(60 * MS)
             assert line.over and n < 25
-            await asked(here)
+            await next_list_request(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_what_drains_just_after_its_watch_was_reset_gets_nothing_new() -> None:
+def test_a_server_that_drains_just_after_a_list_reset_gets_no_new_request() -> None:
     # The new watch is opened at once: not after a pause in which what is told counts as heard.
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            watch, _ = await asked(here)
-            here.pass_time(200 * MS)
-            watch.reset()
-            other, _ = await asked(here)
-            answer_list(other, 8, here.list_entry(0, "terminating"))
-            await wait_until(lambda: here.state.list_version == 8)
-            await goes_to(here, 1)
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            list_connection, _ = await next_list_request(running)
+            running.pass_time(200 * MS)
+            list_connection.reset()
+            other, _ = await next_list_request(running)
+            answer_list(other, 8, running.list_entry(0, "terminating"))
+            await wait_until(lambda: running.state.list_version == 8)
+            await assert_forwarded_to(running, 1)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_an_agent_that_ends_every_watch_at_once_is_asked_with_pauses() -> None:
-    async def what() -> None:
-        async with scene() as here:
-            watch, _ = await asked(here)
-            watch.reset()
-            await wait_until(lambda: not here.state.list_reachable)
-            assert here.state.list_connection_id not in here.state.connections, "not at once"
-            here.pass_time(150 * MS)
-            await asked(here)
+def test_an_agent_that_closes_at_once_is_asked_with_pauses() -> None:
+    async def scenario() -> None:
+        async with scene() as running:
+            list_connection, _ = await next_list_request(running)
+            list_connection.reset()
+            await wait_until(lambda: not running.state.list_reachable)
+            assert running.state.list_connection_id not in running.state.connections, "not at once"
+            running.pass_time(150 * MS)
+            await next_list_request(running)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize("keep", [True, False])
 @pytest.mark.parametrize("hosts", [True, False])
 def test_an_agent_that_answers_at_once_with_nothing_new_is_asked_with_pauses(keep: bool, hosts: bool) -> None:
-    async def what() -> None:
-        async with scene() as here:
-            watch, _ = await asked(here)
-            body = json.dumps({"seq": 7, "whole": hosts, "hosts": [here.list_entry(0)] * hosts}).encode()
+    async def scenario() -> None:
+        async with scene() as running:
+            list_connection, _ = await next_list_request(running)
+            body = json.dumps({"seq": 7, "whole": hosts, "hosts": [running.list_entry(0)] * hosts}).encode()
             head = b"" if keep else b"Connection: close\r\n"
-            watch.send(b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body))
-            line = here.state.connections[here.state.list_connection_id]
+            list_connection.send(
+                b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body)
+            )
+            line = running.state.connections[running.state.list_connection_id]
             await wait_until(lambda: line.since is None)
-            assert len(here.server_list.all_connections) == 1
-            here.pass_time(150 * MS)
-            assert await question(watch if keep else await here.server_list.next_connection())
+            assert len(running.server_list.all_connections) == 1
+            running.pass_time(150 * MS)
+            assert await read_list_request(
+                list_connection if keep else await running.server_list.next_connection()
+            )
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_an_old_watchs_late_answer_is_not_heard_after_the_new_ones() -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            watch, _ = await asked(here)
+def test_a_late_answer_on_the_old_list_connection_is_ignored() -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            list_connection, _ = await next_list_request(running)
             # The old answer is on its way, and lies in the kernel, as the watch is given up.
-            answer_list(watch, 20, here.list_entry(0), here.list_entry(1), is_complete=True)
-            await watch.writer.drain()
-            here.pass_time(1400 * MS)
-            other, _ = await asked(here)
-            answer_list(other, 9, here.list_entry(0, "terminating"))
-            await wait_until(lambda: here.state.list_version == 9)
-            await goes_to(here, 1)
+            answer_list(list_connection, 20, running.list_entry(0), running.list_entry(1), is_complete=True)
+            await list_connection.writer.drain()
+            running.pass_time(1400 * MS)
+            other, _ = await next_list_request(running)
+            answer_list(other, 9, running.list_entry(0, "terminating"))
+            await wait_until(lambda: running.state.list_version == 9)
+            await assert_forwarded_to(running, 1)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize(
@@ -180,30 +184,37 @@
         (3, True, True, "since=3&"),  # the whole list, counted anew
     ],
 )
-def test_versions_that_repeat_jump_or_go_back(seq: int, whole: bool, taken: bool, since: str | None) -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            watch, _ = await asked(here)
-            here.pass_time(200 * MS)
+def test_list_versions_that_repeat_jump_or_go_back(
+    seq: int, whole: bool, taken: bool, since: str | None
+) -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            list_connection, _ = await next_list_request(running)
+            running.pass_time(200 * MS)
             answer_list(
-                watch, seq, here.list_entry(0, "terminating"), here.list_entry(1), is_complete=whole, indent=2
+                list_connection,
+                seq,
+                running.list_entry(0, "terminating"),
+                running.list_entry(1),
+                is_complete=whole,
+                indent=2,
             )
             if taken:
-                assert f"?{since}" in await question(watch)
-                await goes_to(here, 1)
+                assert f"?{since}" in await read_list_request(list_connection)
+                await assert_forwarded_to(running, 1)
             else:
-                await wait_until(lambda: not here.state.list_reachable)
-                here.pass_time(150 * MS)
-                other, again = await asked(here)
+                await wait_until(lambda: not running.state.list_reachable)
+                running.pass_time(150 * MS)
+                other, again = await next_list_request(running)
                 assert "since" not in again, "the whole list is asked for"
-                answer_list(other, 3, here.list_entry(1), is_complete=True)
-                assert "since=3&" in await question(other)
-                await goes_to(here, 1)
+                answer_list(other, 3, running.list_entry(1), is_complete=True)
+                assert "since=3&" in await read_list_request(other)
+                await assert_forwarded_to(running, 1)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-SPOILT: dict[str, Any] = {
+UNREADABLE_ENTRIES: dict[str, Any] = {
     "no host": {"host": None},
     "an unknown health": {"health": "ill"},
     "a health of the wrong type": {"health": ["terminating"]},
@@ -215,112 +226,114 @@
 }
 
 
-@pytest.mark.parametrize("spoilt", [*SPOILT, "deep", "no list", "no version"])
-def test_a_list_that_cannot_be_read_changes_nothing_and_the_next_is_asked_for(spoilt: str) -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            watch, _ = await asked(here)
+@pytest.mark.parametrize("spoilt", [*UNREADABLE_ENTRIES, "deep", "no list", "no version"])
+def test_an_unreadable_list_changes_nothing_and_the_whole_list_is_asked_for(spoilt: str) -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            list_connection, _ = await next_list_request(running)
             if spoilt == "deep":
-                watch.send(ok_response(b'{"seq":8,"whole":true,"hosts":' + b"[" * 200_000))
+                list_connection.send(ok_response(b'{"seq":8,"whole":true,"hosts":' + b"[" * 200_000))
             elif spoilt == "no list":
-                watch.send(ok_response(b'{"seq":8,"whole":true,"hosts":7}'))
+                list_connection.send(ok_response(b'{"seq":8,"whole":true,"hosts":7}'))
             elif spoilt == "no version":
-                answer_list(watch, float("nan"), here.list_entry(0, "terminating"))
+                answer_list(list_connection, float("nan"), running.list_entry(0, "terminating"))
             else:
-                entry = {**here.list_entry(0, "terminating"), **SPOILT[spoilt]}
+                entry = {**running.list_entry(0, "terminating"), **UNREADABLE_ENTRIES[spoilt]}
                 if entry["host"] is None:
                     del entry["host"]
-                answer_list(watch, 8, here.list_entry(1, "terminating"), entry)
-            await wait_until(lambda: not here.state.list_reachable)
-            assert not [line for line in here.log if "fault" in line]
-            here.pass_time(150 * MS)
-            other, again = await asked(here)
+                answer_list(list_connection, 8, running.list_entry(1, "terminating"), entry)
+            await wait_until(lambda: not running.state.list_reachable)
+            assert not [line for line in running.log if "fault" in line]
+            running.pass_time(150 * MS)
+            other, again = await next_list_request(running)
             assert "since" not in again
-            answer_list(other, 9, here.list_entry(0, "terminating"), here.list_entry(1), is_complete=True)
-            await wait_until(lambda: here.state.list_version == 9)
-            await goes_to(here, 1)
+            answer_list(
+                other, 9, running.list_entry(0, "terminating"), running.list_entry(1), is_complete=True
+            )
+            await wait_until(lambda: running.state.list_version == 9)
+            await assert_forwarded_to(running, 1)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
 @pytest.mark.parametrize("state", ["half a list", "silent", "down"])
-def test_a_reload_that_moves_the_agent_asks_the_new_one_at_once_for_its_whole_list(state: str) -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
+def test_a_reload_with_a_new_agent_address_asks_it_at_once_for_the_whole_list(state: str) -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
             other = await StandIn().start()
-            watch, _ = await asked(here)
+            list_connection, _ = await next_list_request(running)
             if state == "half a list":
-                body = json.dumps({"seq": 8, "whole": True, "hosts": [here.list_entry(0)]}).encode()
-                watch.send(ok_response(body)[:-5])
-                line = here.exchange.lines[here.state.list_connection_id]
+                body = json.dumps({"seq": 8, "whole": True, "hosts": [running.list_entry(0)]}).encode()
+                list_connection.send(ok_response(body)[:-5])
+                line = running.exchange.lines[running.state.list_connection_id]
                 await wait_until(lambda: line.heard)
             elif state == "down":
-                assert here.server_list.server is not None
-                here.server_list.server.close()
-                watch.reset()
-                await wait_until(lambda: not here.state.list_reachable)
-            moved(here, other.address)
-            new, first = await asked(here, other)
+                assert running.server_list.server is not None
+                running.server_list.server.close()
+                list_connection.reset()
+                await wait_until(lambda: not running.state.list_reachable)
+            move_list_agent(running, other.address)
+            new, first = await next_list_request(running, other)
             assert "since" not in first
             if state == "half a list":
-                watch.send(body[-5:])  # the old one's end comes all the same
-            answer_list(new, 2, here.list_entry(0, "terminating"), here.list_entry(1), is_complete=True)
-            assert "since=2&" in await question(new)
-            await goes_to(here, 1)
-            here.pass_time(timedelta(milliseconds=900))  # what was due for the old one asks nobody
-            assert len(other.all_connections) == 1 and len(here.server_list.all_connections) == 1
+                list_connection.send(body[-5:])  # the old one's end comes all the same
+            answer_list(new, 2, running.list_entry(0, "terminating"), running.list_entry(1), is_complete=True)
+            assert "since=2&" in await read_list_request(new)
+            await assert_forwarded_to(running, 1)
+            running.pass_time(timedelta(milliseconds=900))  # what was due for the old one asks nobody
+            assert len(other.all_connections) == 1 and len(running.server_list.all_connections) == 1
             other.close()
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_a_reload_while_the_new_agent_is_down_is_made_good_as_it_comes_up() -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            watch, _ = await asked(here)
+def test_a_reload_while_the_new_agent_is_down_takes_effect_when_it_comes_up() -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            list_connection, _ = await next_list_request(running)
             other = await StandIn().start()
             assert other.server is not None
             host, port = other.address.split(":")
             other.server.close()
             await other.server.wait_closed()
-            moved(here, other.address)
-            await wait_until(lambda: not here.state.list_reachable)
-            assert await watch.read_to_end() == b""
+            move_list_agent(running, other.address)
+            await wait_until(lambda: not running.state.list_reachable)
+            assert await list_connection.read_to_end() == b""
             other.server = await asyncio.start_server(
                 lambda r, w: other.new_connections.put_nowait(StandInConnection(r, w)), host, int(port)
             )
-            here.pass_time(150 * MS)
-            new, first = await asked(here, other)
+            running.pass_time(150 * MS)
+            new, first = await next_list_request(running, other)
             assert "since" not in first
-            answer_list(new, 1, here.list_entry(0, "terminating"), here.list_entry(1), is_complete=True)
-            await wait_until(lambda: here.state.list_version == 1)
-            await goes_to(here, 1)
+            answer_list(new, 1, running.list_entry(0, "terminating"), running.list_entry(1), is_complete=True)
+            await wait_until(lambda: running.state.list_version == 1)
+            await assert_forwarded_to(running, 1)
             other.close()
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_a_reload_with_the_same_address_leaves_the_watch_alone() -> None:
-    async def what() -> None:
-        async with scene(server_count=2) as here:
-            watch, _ = await asked(here)
-            moved(here, here.server_list.address)
-            answer_list(watch, 8, here.list_entry(0, "terminating"))
-            assert "since=8&" in await question(watch)
-            assert len(here.server_list.all_connections) == 1
-            await goes_to(here, 1)
+def test_a_reload_with_the_same_address_keeps_the_list_connection() -> None:
+    async def scenario() -> None:
+        async with scene(server_count=2) as running:
+            list_connection, _ = await next_list_request(running)
+            move_list_agent(running, running.server_list.address)
+            answer_list(list_connection, 8, running.list_entry(0, "terminating"))
+            assert "since=8&" in await read_list_request(list_connection)
+            assert len(running.server_list.all_connections) == 1
+            await assert_forwarded_to(running, 1)
 
-    run_scene(what)
+    run_scene(scenario)
 
 
-def test_an_agent_without_a_turn_where_lists_are_pushed_is_asked_again_within_seconds() -> None:
+def test_an_agent_that_refuses_is_asked_again_within_seconds_where_lists_are_pushed() -> None:
     # Guards against a pause longer than the time after which what it had to tell counts as told.
-    async def what() -> None:
-        async with scene() as here:
+    async def scenario() -> None:
+        async with scene() as running:
             for _ in range(8):
-                watch, _ = await asked(here)
-                watch.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-                await gone(here, here.state.list_connection_id)
-                here.pass_time(timedelta(milliseconds=3010))
+                list_connection, _ = await next_list_request(running)
+                list_connection.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+                await wait_until_closed(running, running.state.list_connection_id)
+                running.pass_time(timedelta(milliseconds=3010))
 
-    run_scene(what)
+    run_scene(scenario)
