--- a/opalgauge/lab/__init__.py
+++ b/opalgauge/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: stand-ins, load and measurements. Serving imports nothing of it."""
+"""Stand-ins, load generators, a fault proxy, simulations, benchmarks and experiments.
+
+Nothing that serves requests imports this package.
+"""
--- a/opalgauge/lab/bench_cores.py
+++ b/opalgauge/lab/bench_cores.py
@@ -1,8 +1,9 @@
-"""What several cores bring and cost: `opalgauge bench cores`.
+"""Throughput, latency and cost by number of cores: `opalgauge bench cores`.
 
-For each core count an ingress of its own, twice loaded: closed loop to see what it can do, then open loop
-at a share of that to see its answer times. Then a worker is stopped and one is killed under load. The clients
-and the stand-ins run on the same machine, so beyond half of its cores the figures say less of the ingress.
+For each core count an ingress is started and loaded twice: in a closed loop to find its throughput, then in
+an open loop at a share of that to find its latency. After that a worker is stopped, one is killed, and one
+account makes half of the load. The clients and the stand-ins run on the same machine, so with more than half
+of its cores the figures say less about the ingress.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 from starlinggap.quota import counter_name
 
 ACCOUNTS = 200
-CLIENT_PROCESSES = 2  # processes
-OPEN_LOOP_SHARE = 0.6  # of the throughput found: the rate of the open loop
-FULL_SERVICE_SHARE = 0.95  # of the service before: service is full again
+CLIENT_PROCESSES = 2
+OPEN_LOOP_SHARE = 0.6  # rate of the open loop, of the throughput found in the closed loop
+FULL_SERVICE_SHARE = 0.95  # of the answers a second before the fault: service is full again
 
 
 def accounts() -> list[list[Any]]:
-    """Number, tariff, units and weight. The last one is far over its ceiling at any load worth measuring."""
+    """Returns rows of number, plan, units and weight; at any useful load the last is far over its ceiling."""
     rows: list[list[Any]] = [
         [1000 + index, "negoce", 1 + index % 3, 1.0 / (1 + index / 50)] for index in range(ACCOUNTS)
     ]
@@ -67,9 +68,10 @@
 def usage_by_account(
     reports: dict[str, list[dict[str, Any]]], started: float, ended: float
 ) -> dict[str, dict[str, float]]:
-    """Units sent on, units counted and the quota, for each account that was asked for.
+    """Returns the units forwarded, the units counted and the quota of each account.
 
-    The counter knows scrambled names only, so each account's names are made again for every window.
+    `reports`: of the stand-ins. The counter's names are hashes of account and window, so they are computed
+    again for every window of the run.
     """
     sent: dict[str, float] = {}
     for server in reports["node"]:
@@ -88,13 +90,14 @@
 
 
 def drift_percent(usage: dict[str, dict[str, float]]) -> float:
+    """Returns the differences between units forwarded and counted, in percent of the units forwarded."""
     sent = sum(account["sent"] for account in usage.values())
     difference = sum(abs(account["sent"] - account["counted"]) for account in usage.values())
     return 100 * difference / sent if sent else 0.0
 
 
 def measure_cores(cores: int, seconds: float, echo: Callable[[str], None]) -> dict[str, Any]:
-    """One core count: throughput, answer times, cost, drift from the counter's count."""
+    """Measures throughput, latency, cost and drift from the counter with one core count."""
     with testbed(cores) as bed:
         started = time.time()
         load_results(start_load_generators(_load_specs(bed.address, 2.0, 0, 16 * cores, "w")), 30)
@@ -145,13 +148,13 @@
 def measure_worker_fault(
     cores: int, rate: float, fault: str, echo: Callable[[str], None], seconds: float = 8.0
 ) -> dict[str, Any]:
-    """One worker is stopped (`stall`) or killed (`kill`) under an open loop: what it cost, and how long.
+    """Stops (`stall`) or kills (`kill`) one worker under an open loop; measures losses and recovery time.
 
-    The nodes answer after 20 ms, so that attempts are out when it happens.
+    The servers answer after 20 ms, so that attempts are in flight when it happens.
     """
     with testbed(cores, delay=0.02) as bed:
         started = time.time()
-        within_quota = accounts()[:-1]  # so that whatever is refused is refused for the worker's sake
+        within_quota = accounts()[:-1]  # so that a refusal can only be due to the fault
         load_results(
             start_load_generators(_load_specs(bed.address, 2.0, 0, 16 * cores, "w", within_quota)), 30
         )
@@ -203,7 +206,7 @@
 
 
 def measure_uneven_load(cores: int, seconds: float, echo: Callable[[str], None]) -> dict[str, Any]:
-    """One account is half of all traffic: what each worker's CPU did meanwhile, in closed loop."""
+    """Measures the CPU of each worker in a closed loop in which one account makes half of the requests."""
     rows = accounts()[:-1]
     rows[0][3] = sum(row[3] for row in rows[1:])
     with testbed(cores) as bed:
@@ -229,7 +232,7 @@
 
 
 def _median_run(runs: list[dict[str, Any]]) -> dict[str, Any]:
-    """The round in the middle by throughput; what must not happen is added up over all of them."""
+    """Returns the round of median throughput, with the failures of all rounds summed up."""
     median = sorted(runs, key=lambda run: run["requests_per_s"])[(len(runs) - 1) // 2]
     sums = {key: sum(run[key] for run in runs) for key in ("lost", "doubled", "late")}
     by_round = [(run["requests_per_s"], run["cpu_us_per_request"]) for run in runs]
@@ -245,14 +248,14 @@
 
 
 def bench(cores: Sequence[int], seconds: float, rounds: int, echo: Callable[[str], None]) -> dict[str, Any]:
-    """All of it; the JSON that `opalgauge bench cores` writes."""
+    """Runs the whole benchmark; returns the JSON that `opalgauge bench cores` writes."""
     machine_cores = os.cpu_count()
     echo(
         f"{machine_cores} cores on this machine, which also carry {CLIENT_PROCESSES} clients, "
         "2 nodes and the counter"
     )
     runs_by_cores: dict[int, list[dict[str, Any]]] = {core_count: [] for core_count in cores}
-    for _ in range(rounds):  # in turn: the machine's speed drifts
+    for _ in range(rounds):  # core counts take turns, as the speed of a shared machine drifts
         for core_count in cores:
             runs_by_cores[core_count].append(measure_cores(core_count, seconds, echo))
     runs = [_median_run(runs_by_cores[core_count]) for core_count in cores]
--- a/opalgauge/lab/bench_request.py
+++ b/opalgauge/lab/bench_request.py
@@ -1,9 +1,9 @@
-"""What one request costs, by part: `opalgauge bench request`.
+"""CPU cost of one request, by part: `opalgauge bench request`.
 
-Each part is run by itself, in this process and without sockets, on the objects that serving uses; then an
-ingress of one core is loaded in a closed loop, and its whole CPU time is shared out over the requests it
-answered. The parts leave out the event loop and the system's own work, which the whole includes. Rounds take
-turns over the parts, since the speed of a shared machine drifts; the median of the rounds is told.
+Each part is run by itself, in this process and without sockets, on the objects that serving uses. Then an
+ingress of one core is loaded in a closed loop, and its CPU time is divided by the requests that it answered.
+The parts leave out the event loop and the kernel's work, which the whole includes. The parts take turns in
+each round, as the speed of a shared machine drifts; the median of the rounds is reported.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 
 class NullTransport(asyncio.Transport):
-    """A transport that takes all and sends nothing."""
+    """A transport that discards what is written to it."""
 
     def write(self, data: Any) -> None:
         pass
@@ -75,13 +75,13 @@
 
 
 class ClientProtocol(BaseProtocol):
-    """As much of a client's connection as aiohttp's requests look at."""
+    """The part of a client connection that aiohttp's requests use."""
 
     ssl_context = peername = sockname = None
 
 
 class SocketlessConnection(LineProtocol):
-    """A line whose kept connection is not looked at: it has no socket."""
+    """An upstream connection that is never checked for being stale, as it has no socket."""
 
     def _stale(self) -> bool:
         return False
@@ -132,7 +132,7 @@
     encode: Callable[[int], bytes],
     answer: bytes,
 ) -> Callable[[int], None]:
-    """Wording a call, and reading its answer, over one kept connection."""
+    """Writes a request and parses its answer, over one connection that is kept."""
     connection = SocketlessConnection(1, loop, lambda _: None, understand, max_body)
     connection.connection_made(NullTransport())
 
@@ -145,7 +145,7 @@
 
 
 class ReducerDriver:
-    """A reducer driven through whole requests: the counter and the nodes answer at once."""
+    """Drives a reducer through whole requests; the counter and the servers answer at once."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.now, self.number = START, 0
@@ -158,6 +158,7 @@
         self.reducer.start(self.now)
 
     def run(self, count: int) -> None:
+        """Runs `count` requests."""
         step = self.reducer.step
         for _ in range(count):
             self.now += timedelta(microseconds=400)
@@ -185,7 +186,7 @@
 
 
 class GatewayDriver:
-    """The decisions alone, driven through whole requests."""
+    """Drives a gateway alone through whole requests."""
 
     def __init__(self) -> None:
         self.now, self.number, self.total = 1e6, 0, 0.0
@@ -195,6 +196,7 @@
         )
 
     def run(self, count: int) -> None:
+        """Runs `count` requests."""
         handle = self.gateway.handle
         for _ in range(count):
             self.now += 0.0004
@@ -211,7 +213,7 @@
 
 
 def measure_parts(rounds: int, count: int) -> dict[str, float]:
-    """CPU microseconds a request by part: the median of the rounds."""
+    """Returns CPU microseconds a request by part, the median of the rounds of `count` requests."""
     loop = asyncio.new_event_loop()
     ttl = timedelta(seconds=30)
     two_seconds = timedelta(seconds=2)
@@ -241,7 +243,7 @@
 
 
 def measure_whole(seconds: float) -> tuple[float, float]:
-    """CPU microseconds a request and requests a second of one core in a closed loop, four stock nodes."""
+    """Returns CPU microseconds a request, and requests a second, of one core in a closed loop."""
     spec = {
         "seconds": 1.0, "connections": 32, "rate": 0, "seed": 1, "tag": "r",
         "accounts": [[1000 + n, "negoce", 1, 1.0] for n in range(200)],
@@ -260,7 +262,7 @@
 
 
 def bench(rounds: int, seconds: float, echo: Callable[[str], None]) -> dict[str, Any]:
-    """All of it; the JSON that `opalgauge bench request` writes."""
+    """Runs the whole benchmark; returns the JSON that `opalgauge bench request` writes."""
     part_costs = measure_parts(rounds, 4000)
     for name, cost in part_costs.items():
         echo(f"{name:>22} {cost:>7.1f} us")
--- a/opalgauge/lab/experiments.py
+++ b/opalgauge/lab/experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: a scene with a part of the program on, the same with it off, and the figures side by side."""
+"""Experiments: a scenario with one feature on, the same with it off, and the figures of both."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 
 
 def zone_leave(seed: int, echo: Callable[[str], None]) -> dict[str, Any]:
-    """One zone of three is cut off and returns cold, while five ingresses serve.
+    """Cuts off one zone of three, which returns with cold servers, while five ingresses serve.
 
-    `leave_*_s`: from the fleet's first failed attempt there to an ingress's last new one, while it is cut.
-    `return_max_overload`: the most work sent to one of its nodes in 3 s, over what it could do at first.
+    `leave_*_s`: from the fleet's first failed attempt in the zone to an ingress's last new one during the
+    outage. `return_max_overload`: the most work sent to one of its servers within 3 s, over its capacity at
+    the start of these.
     """
     figures = {}
     for name, leave in (("part", "on"), ("baseline", "watch")):
@@ -42,18 +43,22 @@
 
 
 def event_times(result: Result, name: str) -> list[float]:
-    """A figure of the doors at the first look, of how long ago something was, as times of the scene."""
+    """Returns when something happened at each ingress that has seen it.
+
+    `name`: a statistic that says how long ago it was when the stats were first read.
+    """
     read_at, rows = result.stats[0]
     return [read_at - float(row[name]) for row in rows if row.get(name, "-") != "-"]
 
 
 def quantile(values: list[float], fraction: float) -> float:
+    """Returns the value below which a fraction of the values lies; 0 if there are none."""
     ordered = sorted(values) or [0.0]
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def leave_times(result: Result, zone: str = LOST_ZONE) -> list[float]:
-    """For each ingress: seconds from the fleet's first failure in the zone to its last new attempt there."""
+    """Returns by ingress the seconds from the fleet's first failure in a zone to its last attempt there."""
     first_failure = min(event_times(result, f"zone.{zone}.first_failed"), default=0.0)
     return [
         max(0.0, last_attempt - first_failure)
@@ -92,10 +97,11 @@
 
 
 def fleet_split(seed: int, echo: Callable[[str], None]) -> dict[str, Any]:
-    """Six ingresses split in halves that hear nothing of each other, the counter cut for 20 s.
+    """Partitions six ingresses into halves and cuts the counter off, both for 20 s.
 
-    Of each tariff while it is cut: units sent on beyond the quota of the worst account, in percent of it;
-    units refused though an ideal store lets them in, in percent of what it does; what is promised of both.
+    Gives for each plan during the outage: the units forwarded over the quota of the worst account, in percent
+    of it; the units refused that an ideal counter admits, in percent of those that it admits; and the bounds
+    that are promised for both.
     """
     figures = {}
     for name, leases in (("part", "on"), ("baseline", "off")):
@@ -106,6 +112,7 @@
 
 
 def quota_figures(result: Result, scenario: Scenario, interval: tuple[float, float]) -> dict[str, Any]:
+    """Returns the figures of `fleet_split` for the requests decided in `interval`."""
     plan_by_account = AccountLoad(scenario.plans, scenario.ingresses, scenario.seed).plan_by_account
     seconds = interval[1] - interval[0]
     deviations = deviation_by_plan(
@@ -132,7 +139,7 @@
     }  # fmt: skip
 
 
-# One ingress hears nothing, and hears again; another starts anew.
+# One ingress is cut off from its peers and reconnected; another is restarted.
 AWAY_START, AWAY_END, RESTART_AT = 6.0, 14.0, 17.0
 REPLICA_SCENARIO = Scenario(
     ingresses=5, zone_leave="off", replicate=True, mean_work=0.01, rate=40.0, seconds=24.0,
@@ -144,7 +151,7 @@
     ),
     admin_commands=(
         (1.0, 0, "maint-on s-00"), (1.5, 1, "maint-on s-10"), (2.0, 2, "maint-on s-20"),
-        # While the fifth is away both sides go on, and differ on two stock nodes.
+        # While the fifth ingress is cut off both sides get commands, which conflict for two servers.
         (8.0, 4, "maint-off s-00"), (8.5, 0, "maint-on s-11"), (9.0, 4, "maint-on s-12"),
         (9.5, 1, "maint-off s-10"), (10.0, 4, "maint-off s-20"), (10.5, 2, "maint-off s-20"),
         (11.0, 2, "maint-on s-20"),
@@ -156,9 +163,10 @@
 
 
 def replicas(seed: int, echo: Callable[[str], None]) -> dict[str, Any]:
-    """Five ingresses whose bans and judgements change; one is cut off for 8 s, one starts anew, 7.2% is lost.
+    """Changes bans and ejections at five ingresses; one is cut off for 8 s, one restarted, 7.2% is lost.
 
-    `converge_*_s`: from a change, or the end of a fault, until all copies were equal, while none was away.
+    `converge_*_s`: from a change, or the end of a fault, until all replicas were equal; changes made
+    while one is cut off are left out.
     """
     result = asyncio.run(run_scenario(replace(REPLICA_SCENARIO, seed=seed)))
     figures = replica_figures(result, REPLICA_SCENARIO)
@@ -167,6 +175,7 @@
 
 
 def replica_figures(result: Result, scenario: Scenario) -> dict[str, Any]:
+    """Returns the figures of `replicas`."""
     changes = [time for time, _, _ in scenario.admin_commands if not AWAY_START <= time < AWAY_END]
     ready = [time for time, _, _ in result.stats_at_ready]
     faults = [AWAY_END] if scenario.seconds > AWAY_END else []
@@ -203,7 +212,7 @@
 
 
 def _time_to_convergence(result: Result, since: float) -> float | None:
-    """Seconds until every door that answered told the same digest."""
+    """Returns the seconds until all ingresses that answered had the same digest; None if they never did."""
     for time, rows in result.stats_samples:
         if time >= since and len({row.get("replica.digest") for row in rows}) == 1:
             return time - since
--- a/opalgauge/lab/fault_proxy.py
+++ b/opalgauge/lab/fault_proxy.py
@@ -1,15 +1,15 @@
-"""A fault proxy between processes: it drops, delays, reorders, silences or cuts traffic by a seeded schedule.
+"""A proxy between processes that injects faults into TCP and UDP traffic by a seeded schedule.
 
-A schedule is lines of `WHEN PATHS FAULT`; paths are named by shell patterns, and the newest line that fits
-a path and speaks of a fault holds:
+A schedule has lines of `WHEN PATHS FAULT`. Paths are matched by shell patterns; of the lines that match a
+path and set the same fault, the latest that is due holds:
 
     3s    hall-a.*   cut            # open connections are reset, new ones refused
-    3s    hall-a.*   silence        # open connections stay and say nothing, new ones never come up
-    9s    hall-a.*   heal           # whatever was open during a silence is reset
-    0s    peers.*    drop 7.2%
-    0s    peers.*    delay 2ms 17ms
-    0s    peers.*    reorder 20%    # so many are held back by one more delay
-    0s    peers.*    repeat 5%      # so many come twice
+    3s    hall-a.*   silence        # open connections stall, new ones time out
+    9s    hall-a.*   heal           # ends cut and silence; resets connections that were open in a silence
+    0s    peers.*    drop 7.2%      # of the datagrams
+    0s    peers.*    delay 2ms 17ms # least and greatest
+    0s    peers.*    reorder 20%    # of the datagrams are held back by the greatest delay once more
+    0s    peers.*    repeat 5%      # of the datagrams come twice
 """
 
 from __future__ import annotations
@@ -27,16 +27,19 @@
 DURATION = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
 PERCENTAGE = re.compile(r"(\d+(?:\.\d+)?)%")
 PATH_STATES = ("cut", "silence", "heal")
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close sends a reset
 
 
 class ScheduleError(ValueError):
-    """A line of a schedule that cannot be read; the message names it."""
+    """A line of a schedule cannot be parsed; the message quotes it with its number."""
 
 
 @dataclass(slots=True)
 class PathFaults:
-    """What holds on a path. Times in seconds, shares from 0 to 1."""
+    """The faults of a path at one time: delays in seconds, the rest as probabilities.
+
+    `state`: cut, silence, or heal for neither.
+    """
 
     state: str = "heal"
     drop: float = 0.0
@@ -48,6 +51,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleLine:
+    """One parsed line: from `at` (s) on, a fault holds on all paths that match the pattern."""
+
     at: float
     path_pattern: str
     keyword: str
@@ -57,19 +62,19 @@
 def _duration(text: str) -> float:
     match = DURATION.fullmatch(text)
     if match is None:
-        raise ScheduleError(f"{text!r} is no time such as 200ms or 3s")
+        raise ScheduleError(f"{text!r} is not a duration such as 200ms or 3s")
     return float(match[1]) * (0.001 if match[2] == "ms" else 1.0)
 
 
 def _percentage(text: str) -> float:
     match = PERCENTAGE.fullmatch(text)
     if match is None or float(match[1]) > 100:
-        raise ScheduleError(f"{text!r} is no share such as 7.2%")
+        raise ScheduleError(f"{text!r} is not a percentage such as 7.2%")
     return float(match[1]) / 100
 
 
 class Schedule:
-    """What holds on which path at which time; no I/O."""
+    """A parsed schedule of faults; does no I/O. Raises ScheduleError for a line that it cannot parse."""
 
     def __init__(self, text: str) -> None:
         self.lines: list[ScheduleLine] = []
@@ -79,14 +84,14 @@
                 continue
             try:
                 self.lines.append(self._parse_line(words))
-            except ValueError as bad:
-                raise ScheduleError(f"line {number}: {row.strip()!r}: {bad}") from None
+            except ValueError as error:
+                raise ScheduleError(f"line {number}: {row.strip()!r}: {error}") from None
         self.lines.sort(key=lambda line: line.at)
 
     @staticmethod
     def _parse_line(words: list[str]) -> ScheduleLine:
         if len(words) < 3:
-            raise ScheduleError("a line is WHEN PATHS FAULT")
+            raise ScheduleError("expected WHEN PATHS FAULT")
         start, path_pattern, keyword, *arguments = words
         if keyword in PATH_STATES and not arguments:
             return ScheduleLine(_duration(start), path_pattern, keyword, ())
@@ -97,10 +102,11 @@
         if keyword in ("drop", "reorder", "repeat") and len(arguments) == 1:
             return ScheduleLine(_duration(start), path_pattern, keyword, (_percentage(arguments[0]),))
         raise ScheduleError(
-            "known are cut, silence, heal, drop SHARE, delay LEAST MOST, reorder SHARE, repeat SHARE"
+            "expected one of cut, silence, heal, drop SHARE, delay MIN MAX, reorder SHARE, repeat SHARE"
         )
 
     def faults_at(self, path: str, elapsed: float) -> PathFaults:
+        """Returns the faults of a path `elapsed` seconds after the start."""
         faults = PathFaults()
         for line in self.lines:
             if line.at > elapsed or not fnmatchcase(path, line.path_pattern):
@@ -114,11 +120,12 @@
         return faults
 
     def change_times(self, path: str) -> list[float]:
+        """Returns when the faults of a path may change, in seconds after the start."""
         return [line.at for line in self.lines if fnmatchcase(path, line.path_pattern)]
 
 
 class FaultProxy:
-    """Every path of a scene. Times of the schedule count from `begin`; before it nothing is wrong."""
+    """All paths of a scenario. The schedule runs from `start_schedule` on; until then there are no faults."""
 
     def __init__(self, schedule: Schedule, seed: int) -> None:
         self.schedule, self.seed = schedule, seed
@@ -129,6 +136,7 @@
         self.timers: list[asyncio.TimerHandle] = []
 
     def current_faults(self, path: str) -> PathFaults:
+        """Returns the faults that hold on a path now."""
         return (
             PathFaults()
             if self.started_at is None
@@ -136,24 +144,27 @@
         )
 
     def start_schedule(self) -> None:
+        """Starts the schedule's clock."""
         self.started_at = self.loop.time()
         for path in self.stream_paths:
             for delay in self.schedule.change_times(path.name):
                 self.timers.append(self.loop.call_later(delay, path.apply_schedule))
 
     async def add_stream_path(self, name: str, target: str) -> str:
-        """A path for connections; gives the address to use in place of `target`."""
+        """Adds a TCP path; returns the address to connect to in place of `target`."""
         path = StreamPath(self, name, target)
         self.stream_paths.append(path)
         return path.address
 
     async def add_datagram_path(self, name: str, target: str) -> str:
+        """Adds a one-way UDP path; returns the address to send to in place of `target`."""
         path = DatagramPath(self, name, target)
         await self.loop.create_datagram_endpoint(lambda: path, local_addr=("127.0.0.1", 0))
         self.datagram_paths.append(path)
         return path.address
 
     async def close(self) -> None:
+        """Closes all paths and their connections."""
         for timer in self.timers:
             timer.cancel()
         for path in self.stream_paths:
@@ -163,8 +174,11 @@
 
 
 class StreamPath:
-    """Connections to one target. A listening socket of its own, so that it can stop answering as a machine
-    that has vanished does: its queue is filled, and the kernel drops what asks to connect."""
+    """TCP connections to one target.
+
+    It manages its listening socket itself, to be able to imitate a machine that has vanished: it fills the
+    backlog, so that the kernel drops further attempts to connect.
+    """
 
     def __init__(self, proxy: FaultProxy, name: str, target: str) -> None:
         self.proxy, self.name = proxy, name
@@ -190,7 +204,7 @@
         return sock
 
     def apply_schedule(self) -> None:
-        """Does what the schedule says by now."""
+        """Enters the state that the schedule sets by now, if it is not in it yet."""
         state = self.proxy.current_faults(self.name).state
         if state == self.state:
             return
@@ -200,7 +214,7 @@
                 filler.close()
             self.backlog_fillers.clear()
             if previous == "silence":
-                self._reset_connections()  # the machine that is back knows nothing of them
+                self._reset_connections()  # a machine that is back has lost them
                 self.listener.close()
             self.listener = self._listen(self.listen_address)
             self.accept_task = self.proxy.loop.create_task(self._accept())
@@ -263,7 +277,7 @@
                 if writer is not None:
                     self.writers.discard(writer)
                     if self.state == "silence":
-                        continue  # it says nothing, not even that it has ended
+                        continue  # leaves it open: a silent path sends no end of stream either
                     (self._abort if self.state == "cut" else asyncio.StreamWriter.close)(writer)
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -281,6 +295,7 @@
                 writer.write(data)
 
     def close(self) -> None:
+        """Stops listening and resets all connections."""
         if self.accept_task is not None:
             self.accept_task.cancel()
         for task in self.tasks:
@@ -292,7 +307,7 @@
 
 
 class DatagramPath(asyncio.DatagramProtocol):
-    """Datagrams to one target, one way."""
+    """UDP datagrams to one target, in one direction."""
 
     def __init__(self, proxy: FaultProxy, name: str, target: str) -> None:
         self.proxy, self.name = proxy, name
@@ -308,7 +323,7 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         faults = self.proxy.current_faults(self.name)
-        draws = [self.rng.random() for _ in range(4)]  # as many for each, whatever holds
+        draws = [self.rng.random() for _ in range(4)]  # always four, so that a fault changes no later draw
         if faults.state != "heal" or draws[0] < faults.drop:
             return
         delay = faults.min_delay + (faults.max_delay - faults.min_delay) * draws[1]
@@ -323,4 +338,4 @@
             self.transport.sendto(data, self.target)
 
     def error_received(self, exc: Exception) -> None:
-        """Its target is not there just now."""
+        """The target does not listen at the moment; the datagram is lost."""
--- a/opalgauge/lab/fleet.py
+++ b/opalgauge/lab/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of ingresses, each a process of its own, between stand-ins and a fault proxy, all on loopback.
+"""Runs a fleet of ingresses, each a process, with stand-ins and a fault proxy on loopback.
 
-One scene: zones of stock nodes with capacities, a quota counter, clients that ask by a seeded plan, and a
-schedule of faults on every path between the processes. What is counted is counted from outside.
+A scenario has zones of servers with capacities, a quota counter, clients with seeded requests, and a schedule
+of faults on every path between the processes. Clients and servers do the counting, not the ingresses.
 """
 
 from __future__ import annotations
@@ -24,48 +24,51 @@
 from opalgauge.lab.server_model import ModelledServer, ServerModel
 from opalgauge.lab.stand_ins import HttpConnection, StandInCounter
 
-DEADLINE_SLACK = 0.5  # s: an answer so long after its client's time is lost
-# Name, method, share, worth.
+DEADLINE_SLACK = 0.5  # s after the deadline until a missing answer counts as lost
+# Name, method, share of the requests, worth.
 REQUEST_CLASSES = (("view", "GET", 0.5, 1.0), ("order", "POST", 0.3, 5.0), ("add", "POST", 0.2, 2.0))
-AIM, DEADLINE = 1.2, 4.0
+AIM, DEADLINE = 1.2, 4.0  # s, of each class
 MAX_UNITS = 2  # of one request
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A scene's size and load. `rate`: requests a second, of the whole fleet."""
+    """Size, load and faults. Times are in seconds; those of events count from the start of the load.
+
+    `rate` is in requests a second of the whole fleet. With `plans` it is not used: their accounts send
+    requests as `opalgauge.lab.quotas` draws them.
+    """
 
     ingresses: int = 5
     zones: int = 3
-    servers_per_zone: int = 3  # in each zone
+    servers_per_zone: int = 3
     rate: float = 80.0
     seconds: float = 20.0
     seed: int = 4711
-    zone_leave: str = "on"  # the directive zone-leave
-    schedule: str = ""
+    zone_leave: str = "on"  # directive zone-leave: on, off or watch
+    schedule: str = ""  # of the fault proxy
     warm_up: float = 8.0
-    mean_work: float = 0.06
-    zone_restart: tuple[float, str] | None = None  # when the nodes of a zone start anew, cold
-    zone_slowdown: tuple[float, float, str, float] | None = None  # from, until, a zone, how many times slower
-    ingress_restarts: tuple[tuple[float, int], ...] = ()  # when an ingress is killed and started anew
-    peering: bool = True
-    # Quotas: where there are tariffs, their accounts ask by `opalgauge.lab.quotas`, and `rate` says nothing.
+    mean_work: float = 0.06  # of a server for a request
+    zone_restart: tuple[float, str] | None = None  # time and zone: its servers restart, cold
+    zone_slowdown: tuple[float, float, str, float] | None = None  # from, until, zone, factor
+    ingress_restarts: tuple[tuple[float, int], ...] = ()  # time and ingress: killed and started again
+    peering: bool = True  # False: no ingress knows its peers
     plans: tuple[AccountPlan, ...] = ()
-    leases: str = "off"  # the directive
+    leases: str = "off"  # directive leases
     replicate: bool = False
-    admin_commands: tuple[tuple[float, int, str], ...] = ()  # when, at which ingress, what its operators say
-    # When, to which ingress, how many datagrams of no sense.
+    admin_commands: tuple[tuple[float, int, str], ...] = ()  # time, ingress, command
+    # Time, ingress, number of datagrams that no peer would send.
     garbage_datagrams: tuple[tuple[float, int, int], ...] = ()
-    clock_skews: tuple[float, ...] = ()  # seconds that the ingresses' clocks are off
-    sample_interval: float = 0.0  # seconds between looks at all figures; 0: none but those asked for
+    clock_skews: tuple[float, ...] = ()  # by ingress
+    sample_interval: float = 0.0  # of the stats of all ingresses; 0: no samples
     shift_interval: float = 6.0
-    counter_work: float = 0.0  # seconds a call takes the counter
-    counter_slowdown: tuple[float, float, float] = (0.0, 0.0, 1.0)  # from, until, how many times slower
+    counter_work: float = 0.0  # of the counter for a call
+    counter_slowdown: tuple[float, float, float] = (0.0, 0.0, 1.0)  # from, until, factor
 
 
 @dataclass
 class Result:
-    """What clients and nodes saw. Times from the beginning of the load."""
+    """What clients and servers counted, and the stats of the ingresses. Times as in the scenario."""
 
     requests: int = 0
     served: int = 0
@@ -74,27 +77,28 @@
     failed: int = 0
     lost: int = 0
     duplicates: int = 0
-    worth_served: float = 0.0  # answered within the aim, of what was asked
-    # By zone, of its worst node from its return on.
+    worth_served: float = 0.0  # of answers within the aim, as a share of the worth requested
+    # By zone: of its worst server, from the restart of a zone on.
     max_overload: dict[str, float] = field(default_factory=dict)
-    stats: list[tuple[float, list[dict[str, str]]]] = field(default_factory=list)  # of all ingresses, when
-    outcomes: list[tuple[float, str]] = field(default_factory=list)  # when asked, and how it ended
+    stats: list[tuple[float, list[dict[str, str]]]] = field(default_factory=list)  # time, by ingress
+    outcomes: list[tuple[float, str]] = field(default_factory=list)  # time sent, outcome
     logs: list[list[str]] = field(default_factory=list)
-    # Of tries at accounts with quotas, in their times.
+    # On requests of accounts with quotas.
     decisions: list[QuotaDecision] = field(default_factory=list)
     counter_calls: int = 0
     stats_samples: list[tuple[float, list[dict[str, str]]]] = field(default_factory=list)
-    # Of who was restarted.
+    # Time, ingress and its stats after each restart.
     stats_at_ready: list[tuple[float, int, dict[str, str]]] = field(default_factory=list)
-    admin_answers: list[str] = field(default_factory=list)  # to what staff said
+    admin_answers: list[str] = field(default_factory=list)  # to the admin commands
 
 
 def zone_name(index: int) -> str:
+    """Returns the name of a zone, hall-a for the first."""
     return f"hall-{'abcdefgh'[index]}"
 
 
 class Fleet:
-    """The processes of a scene and the stand-ins round them."""
+    """The ingresses of a scenario, each a process, and the stand-ins and proxies in this one."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario, self.folder = scenario, folder
@@ -113,9 +117,10 @@
         self.logs: list[list[str]] = [[] for _ in range(scenario.ingresses)]
         self.log_readers: list[asyncio.Task[None]] = []
         self.down: set[int] = set()
-        self.killed_at: dict[int, float] = {}  # when, by the loop's clock
+        self.killed_at: dict[int, float] = {}  # by ingress, loop time
 
     async def start(self) -> None:
+        """Starts servers, counter and proxies, writes the settings files and launches all ingresses."""
         scenario = self.scenario
         server_lines = []
         for zone in range(scenario.zones):
@@ -176,6 +181,7 @@
         await asyncio.gather(*(self.launch(ingress) for ingress in range(scenario.ingresses)))
 
     async def launch(self, ingress: int) -> None:
+        """Starts an ingress and waits until it is ready; raises RuntimeError if it exits before."""
         env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
         clock_skews = self.scenario.clock_skews
         program = (
@@ -201,12 +207,13 @@
             self.logs[ingress].append(line.decode().rstrip())
 
     async def kill(self, ingress: int) -> None:
+        """Kills an ingress and waits for its end."""
         self.down.add(ingress)
         self.processes[ingress].kill()
         await self.processes[ingress].wait()
 
     async def call_admin(self, ingress: int, command: str) -> str:
-        """What one ingress's admin endpoint answers; empty where it does not within a second."""
+        """Returns the answer of an ingress's admin endpoint; empty if it takes longer than a second."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_ports[ingress])
@@ -218,12 +225,12 @@
         return answer
 
     async def stats(self, ingress: int) -> dict[str, str]:
-        """The figures of one ingress."""
+        """Returns the stats of an ingress; empty if it does not answer."""
         answer = await self.call_admin(ingress, "stats")
         return dict(row.split("=", 1) for row in answer.splitlines() if "=" in row)
 
     def send_garbage(self, ingress: int, count: int, rng: random.Random) -> None:
-        """Datagrams that no ingress would send, to one ingress."""
+        """Sends random datagrams, most with the start of a real message, to an ingress's peer port."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for number in range(count):
                 prefix = (b"\x5a\x01", b"\x5a\x11", b"\x5a\x21", b"")[number % 4]
@@ -231,6 +238,7 @@
                 sock.sendto(data, ("127.0.0.1", self.peer_ports[ingress]))
 
     async def close(self) -> None:
+        """Kills the ingresses and closes proxies and stand-ins."""
         for process in self.processes:
             if process is not None and process.returncode is None:
                 process.kill()
@@ -246,6 +254,7 @@
 
 @contextlib.asynccontextmanager
 async def running_fleet(scenario: Scenario) -> AsyncIterator[Fleet]:
+    """Starts a fleet with its files in a temporary folder, and closes it at the end."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(scenario, Path(folder))
         try:
@@ -256,7 +265,7 @@
 
 
 class Clients:
-    """Asks by a seeded plan; keeps connections to each ingress and hears each answer."""
+    """Sends requests over connections that are kept, and counts the outcomes."""
 
     def __init__(self, fleet: Fleet, result: Result) -> None:
         self.fleet, self.result = fleet, result
@@ -268,7 +277,7 @@
     async def send_request(
         self, ingress: int, number: int, class_index: int, account: Account | int, units: int = 1
     ) -> None:
-        """`whose`: an account with a quota, or any other by its number."""
+        """Sends one request and counts how it ends. `account`: an account with a plan, or just a number."""
         name, method, _, worth = REQUEST_CLASSES[class_index]
         if isinstance(account, Account):
             account_number, plan_name, first_ingress = (
@@ -306,7 +315,7 @@
                 outcome = await self._exchange(ingress, head)
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
             if ingress in self.fleet.down or started <= self.fleet.killed_at.get(ingress, -1.0):
-                outcome = "killed"  # what a process held that was killed is no loss of a running one
+                outcome = "killed"  # a request lost with a killed process is not counted
         if outcome == "served" and self.loop.time() - started > AIM:
             outcome = "late"
         if outcome != "killed":
@@ -337,7 +346,7 @@
                 writer.close()
                 if fresh:
                     raise
-                idle.clear()  # a close that crossed the request, as any client may meet
+                idle.clear()  # closed while the request was on its way: a client sends it again
                 continue
             lower_head = answer.lower()
             length_at = lower_head.find(b"content-length:")
@@ -352,13 +361,14 @@
         raise ConnectionError("closed twice")
 
     def close(self) -> None:
+        """Closes the connections that are kept."""
         for pairs in self.idle_connections.values():
             for _, writer in pairs:
                 writer.close()
 
 
 def _requests(scenario: Scenario, rng: random.Random) -> Iterator[tuple[float, int, Account | int, int]]:
-    """When, at which ingress, whose, and units."""
+    """Yields time, ingress, account and units of each request."""
     if scenario.plans:
         load = AccountLoad(scenario.plans, scenario.ingresses, scenario.seed, scenario.shift_interval)
         for time, account_index, units, ingress in load.requests(scenario.seconds):
@@ -371,7 +381,7 @@
 
 
 async def run_scenario(scenario: Scenario, stats_at: Sequence[float] = ()) -> Result:
-    """Plays a scene. `looks`: when the figures are read, in seconds from its beginning."""
+    """Runs a scenario. `stats_at`: when the stats of all ingresses are read."""
     result = Result()
     async with running_fleet(scenario) as fleet:
         clients, rng = Clients(fleet, result), random.Random(scenario.seed)
@@ -444,7 +454,7 @@
                 if draw < REQUEST_CLASSES[0][2] + REQUEST_CLASSES[1][2]
                 else 2
             )
-            if ingress in fleet.down:  # another one of the account's
+            if ingress in fleet.down:  # its clients go to another ingress of the account
                 all_ingresses = list(range(scenario.ingresses))
                 alternatives = (
                     account.member_ingresses(scenario.ingresses)
--- a/opalgauge/lab/lease_simulation.py
+++ b/opalgauge/lab/lease_simulation.py
@@ -1,7 +1,7 @@
-"""Quotas in virtual time: many gateways, a counter that fails or crawls, peers that hear each other or not.
+"""Simulates quotas in virtual time: many gateways, a failing or slow counter, partitions between peers.
 
-Nothing but quotas is refused here: the stock nodes answer whatever is sent. The gateways and the leases are
-those that serve.
+Requests are refused for their quota only: the servers answer whatever is sent. The gateways and the leases
+are those that serve.
 """
 
 from __future__ import annotations
@@ -27,13 +27,18 @@
 from starlinggap import interface as i
 
 TICK_INTERVAL, COUNTER_TIMEOUT, SERVICE_TIME = 0.02, 0.05, 0.05
-COUNTER_DELAY = (0.0004, 0.0008)  # s one way to the counter
+COUNTER_DELAY = (0.0004, 0.0008)  # s to the counter, one way
 
 
 @dataclass(slots=True)
 class Scenario:
-    """`way`: today, even, ahead or on. The counter is gone in `cut` for the ingresses in `without` (all,
-    where empty); `groups`: by ingress, who hears whom in `split`."""
+    """Size, load and faults; times in seconds.
+
+    `mode`: on; ahead (leases without grants); even (neither leases ahead nor grants); today (no leases: the
+    counter is called for each request). During `outage` the counter does not answer the ingresses in
+    `affected` (empty: all of them), or is slower by `slowdown`. During `partition` ingresses hear only those
+    with the same number in `groups`.
+    """
 
     mode: str = "on"
     ingresses: int = 6
@@ -42,7 +47,7 @@
     seed: int = 1
     outage: tuple[float, float] = (8.0, 28.0)
     affected: tuple[int, ...] = ()
-    slowdown: float = 1.0  # the counter is so many times slower in `cut`, and not gone
+    slowdown: float = 1.0  # factor; other than 1: the counter is slow in the outage, not gone
     groups: tuple[int, ...] = ()
     partition: tuple[float, float] = (0.0, 0.0)
     drop: float = 0.072
@@ -54,19 +59,21 @@
 
 @dataclass(slots=True)
 class Result:
+    """What a run measured."""
+
     requests: int = 0
     counter_calls: int = 0
-    max_received_per_second: int = 0  # that reached one ingress in one second
+    max_received_per_second: int = 0  # messages to one ingress
     max_message_size: int = 0
     unanswered: int = 0
     decisions: list[QuotaDecision] = field(default_factory=list)
-    # By tariff, while the counter was cut.
+    # By plan, while the counter was out and in the rest of the run.
     during_outage: dict[str, PlanDeviation] = field(default_factory=dict)
-    outside_outage: dict[str, PlanDeviation] = field(default_factory=dict)  # and in the rest of the scene
+    outside_outage: dict[str, PlanDeviation] = field(default_factory=dict)
 
 
 class LeaseSimulation(Simulation):
-    """A scene."""
+    """Runs a scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         super().__init__(scenario.seed)
@@ -108,6 +115,7 @@
         return Leases(rules, self._wall_clock(), int(self.now * 1000), self.scenario.seed + ingress)
 
     def run(self) -> Result:
+        """Runs the scenario until its last requests are answered."""
         while self._run_next(self.scenario.seconds + 6):
             pass
         result, (start, end) = self.result, self.scenario.outage
@@ -201,7 +209,7 @@
     def _run_lease_actions(self, ingress: int) -> None:
         leases = self.leases[ingress]
         for action in leases.take() if leases is not None else ():
-            if isinstance(action, TellTotal):  # in the order of the asks, as events are taken
+            if isinstance(action, TellTotal):  # in the order of the calls, as events are delivered
                 counted = i.Counted(action.name, action.took.total_seconds(), action.end, action.total)
                 self._schedule(self.now, self._deliver_total, ingress, self.generations[ingress], counted)
             elif isinstance(action, CallCounter):
--- a/opalgauge/lab/load_generator.py
+++ b/opalgauge/lab/load_generator.py
@@ -1,11 +1,13 @@
-"""Clients that load an ingress, in a process of their own; open loop, or as fast as answers come.
+"""Loads an ingress with requests, in an open or a closed loop; a process of its own.
 
 `python -m opalgauge.lab.load_generator SPEC` takes a JSON object: `address`, `seconds`, `connections`,
-`rate` (requests a second, drawn ahead; 0: closed loop), `accounts` (a list of [number, tariff, units,
-weight]), `seed`, `tag`.
-A request's time is measured from its intended start, so that a late one counts as late (no coordinated
-omission). Prints one JSON object: counts by status, `lost` (no whole answer), `late` (after its time),
-`wrong` (an answer that no node made), the answer times as an encoded HdrHistogram in microseconds.
+`rate` (requests a second, at seeded times; 0: closed loop), `accounts` (a list of [number, plan, units,
+weight]), `seed`, `tag` (a prefix of the request ids).
+
+Latency is measured from the intended start of a request, so that waiting for a free connection counts too
+(no coordinated omission). Prints one JSON object, which has counts by status, `lost` (no complete answer),
+`late` (answered after the timeout), `wrong` (an answer that no server gave) and the latencies as an encoded
+HdrHistogram in microseconds.
 """
 
 from __future__ import annotations
@@ -22,44 +24,46 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-REQUEST_TIMEOUT = 2.0  # s that a client waits
-TIMEOUT_TOLERANCE = 0.05  # s beyond it that still counts as in time, as the platform's rules have it
-MAX_LATENCY_US = 60_000_000  # us
+REQUEST_TIMEOUT = 2.0  # s
+TIMEOUT_TOLERANCE = 0.05  # s after the timeout that the platform still counts as in time
+MAX_LATENCY_US = 60_000_000
 
 
 @dataclass
 class Tally:
-    """What came back."""
+    """Counts of requests and answers."""
 
     status: dict[str, int] = field(default_factory=dict)
     served: dict[str, int] = field(default_factory=dict)
     requests: int = 0
     lost: int = 0
-    resent: int = 0  # their connection ended before anything came back; asked once more
+    resent: int = 0  # sent again, as the connection ended before any answer
     late: int = 0
     wrong: int = 0
-    answer_times: list[tuple[float, int]] = field(default_factory=list)  # of answers, and whether served
+    answer_times: list[tuple[float, int]] = field(default_factory=list)  # with 1 for status 200, else 0
 
 
 class Connection(asyncio.Protocol):
-    """One connection with one request at a time; it is dialled again when it ends."""
+    """A client connection with one request at a time; a new one replaces it when it ends."""
 
     def __init__(self, generator: LoadGenerator) -> None:
         self.generator, self.buffer = generator, b""
         self.transport: Any = None
         self.pending: tuple[float, float, str] | None = None  # intended start, sent at, account
-        self.request_data, self.is_retry = b"", False  # what was asked, and whether for the second time
+        self.request_data, self.is_retry = b"", False  # of the pending request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         self.generator.on_idle(self)
 
     def send_request(self, intended_start: float) -> None:
+        """Sends the next request, which should have started at `intended_start`."""
         self.request_data, account = self.generator.next_request()
         self.pending, self.is_retry = (intended_start, time.perf_counter(), account), False
         self.transport.write(self.request_data)
 
     def resend_request(self, data: bytes, pending: tuple[float, float, str]) -> None:
+        """Sends a request again whose first connection ended without an answer."""
         self.request_data, self.pending, self.is_retry = data, pending, True
         self.transport.write(data)
 
@@ -79,7 +83,7 @@
         )
         pending, self.pending = self.pending, None
         if pending is None:
-            self.generator.tally.wrong += 1  # an answer that nobody asked for
+            self.generator.tally.wrong += 1  # an answer without a request
             return
         self.generator.on_answer(head[9:12].decode(), body, pending, bool(self.buffer))
         if b"connection: close" in head:
@@ -89,8 +93,8 @@
 
     def connection_lost(self, exc: BaseException | None) -> None:
         if self.pending is not None and not self.is_retry and not self.buffer:
-            # An ingress may close between requests, and the close may cross a request that it has not read:
-            # the platform's clients send that once more. Had it been sent on, the nodes see its id twice.
+            # The ingress may close an idle connection just as a request is sent on it. The platform's clients
+            # send that request once more; if it had been forwarded, the servers see its id twice.
             self.generator.to_resend.append((self.request_data, self.pending))
             self.generator.tally.resent += 1
         elif self.pending is not None:
@@ -100,6 +104,8 @@
 
 
 class LoadGenerator:
+    """Sends the requests of one spec and tallies the answers."""
+
     def __init__(self, spec: dict[str, Any]) -> None:
         self.spec = spec
         self.loop = asyncio.get_running_loop()
@@ -108,7 +114,7 @@
         self.histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.idle: list[Connection] = []
         self.to_resend: deque[tuple[bytes, tuple[float, float, str]]] = deque()
-        self.overdue: deque[float] = deque()  # intended starts that wait for a connection
+        self.overdue: deque[float] = deque()  # intended starts of requests without a free connection
         self.in_flight = 0
         self.finished = False
         weights = [account[3] for account in spec["accounts"]]
@@ -125,6 +131,7 @@
         return before_id.encode(), after_id.encode(), str(number)
 
     def next_request(self) -> tuple[bytes, str]:
+        """Returns the bytes of a new request and its account."""
         self.request_number += 1
         before_id, after_id, account = self.request_parts[self.account_sequence[self.request_number % 8192]]
         self.tally.requests += 1
@@ -132,6 +139,7 @@
         return before_id + f"{self.spec['tag']}{self.request_number:x}\r\n".encode() + after_id, account
 
     def on_answer(self, status: str, body: bytes, request: tuple[float, float, str], surplus: bool) -> None:
+        """Tallies an answer. `surplus`: more bytes than the answer has came with it."""
         now = time.perf_counter()
         tally, latency = self.tally, now - request[0]
         self.in_flight -= 1
@@ -144,6 +152,7 @@
         self.histogram.record_value(min(MAX_LATENCY_US, max(1, int(latency * 1e6))))
 
     def on_idle(self, connection: Connection) -> None:
+        """Gives a free connection its next request, if there is one."""
         if self.to_resend and not connection.transport.is_closing():
             connection.resend_request(*self.to_resend.popleft())
             return
@@ -158,12 +167,14 @@
             connection.send_request(time.perf_counter())
 
     def on_lost(self, connection: Connection) -> None:
+        """Replaces a connection that ended, while there is something left to send."""
         if connection in self.idle:
             self.idle.remove(connection)
         if not self.finished or self.to_resend:
             self.loop.create_task(self.connect())
 
     async def connect(self) -> None:
+        """Opens a connection; tries again after 50 ms if that fails."""
         host, _, port = self.spec["address"].rpartition(":")
         try:
             await self.loop.create_connection(lambda: Connection(self), host, int(port))
@@ -171,6 +182,7 @@
             self.loop.call_later(0.05, lambda: self.finished or self.loop.create_task(self.connect()))
 
     async def run(self) -> dict[str, Any]:
+        """Sends requests for the spec's time, waits for their answers, and returns the report."""
         await asyncio.gather(*(self.connect() for _ in range(self.spec["connections"])))
         started = time.perf_counter()
         started_unix = time.time()
@@ -212,6 +224,7 @@
 
 
 async def main() -> None:
+    """Runs the spec given on the command line and prints the report."""
     print(json.dumps(await LoadGenerator(json.loads(sys.argv[1])).run()), flush=True)
 
 
--- a/opalgauge/lab/ports.py
+++ b/opalgauge/lab/ports.py
@@ -1,7 +1,7 @@
-"""Ports on loopback that nobody uses, for parties that are started later.
+"""Free ports on loopback for processes that are started later.
 
-They lie below those that the system gives to outgoing connections: else one that opens in between may have
-taken a port before its party listens there.
+They lie below the kernel's range of ephemeral ports. Otherwise an outgoing connection that is opened in the
+meantime could take a port before the process listens on it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import socket
 
 MIN_PORT, MAX_PORT = 15_000, 32_000
-RANDOM = random.SystemRandom()  # two scenes side by side must not try the same ones
+RANDOM = random.SystemRandom()  # unseeded: two runs side by side must not try the same ports
 
 
 def _is_free(port: int) -> bool:
@@ -24,7 +24,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """So many ports, all different, at which neither streams nor datagrams are taken in."""
+    """Returns `count` different ports on which nobody listens, over TCP or UDP."""
     ports: list[int] = []
     while len(ports) < count:
         port = RANDOM.randrange(MIN_PORT, MAX_PORT)
--- a/opalgauge/lab/quotas.py
+++ b/opalgauge/lab/quotas.py
@@ -1,8 +1,11 @@
-"""True stores of trade accounts, by which it is told what was let in beyond a quota and refused within it.
+"""Judges the quota decisions of a fleet against token buckets that see every request.
 
-A store starts full, fills at its tariff's rate and holds its burst at most; what is sent on takes its units
-if the store holds them, and is beyond the quota if not. An ideal store decides about the same requests, alone
-and at once: what it lets in, and the ingresses did not in all, was wrongly refused.
+Each account has two buckets, which start full, refill at the plan's rate and hold its burst at most. One is
+charged with the requests that the fleet forwarded: a request that it cannot cover was over the quota. The
+other decides alone about all requests, as a single instance without delay would: the units that it admits
+and the fleet as a whole did not were wrongly refused.
+
+Also generates the requests of such accounts, and the deviation that leases promise not to exceed.
 """
 
 from __future__ import annotations
@@ -14,7 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountPlan:
-    """`rate` in units a second. `accounts`: how many; `spread`: over how many ingresses each comes."""
+    """A plan and the accounts that have it.
+
+    `rate` is in units a second. The requests of each account come through `spread` ingresses.
+    """
 
     name: str
     rate: float
@@ -23,7 +29,7 @@
     spread: int
 
     def quota(self, seconds: float) -> float:
-        """What an account may use in `span` seconds at most."""
+        """Returns the units that an account may use in `seconds` at most."""
         return self.burst + self.rate * seconds
 
 
@@ -33,13 +39,13 @@
     AccountPlan("growth", 10.0, 20.0, 6, 3),
     AccountPlan("large", 26.0, 52.0, 3, 3),
 )
-# How an account uses its quota: shares of the accounts, and what they ask over its rate.
+# (Share of the accounts, demand as a multiple of the rate of the plan).
 USAGE_PATTERNS = ((0.6, 0.35), (0.2, 0.95), (0.2, 2.5))
 
 
 @dataclass(slots=True)
 class AccountUsage:
-    """Of one account in the span that is looked at, units: inside, beyond, what an ideal store lets in."""
+    """Units of one account: forwarded within its quota, over it, and admitted by an ideal bucket."""
 
     within_quota: float = 0.0
     over_quota: float = 0.0
@@ -48,12 +54,14 @@
 
 @dataclass(slots=True)
 class TokenBucket:
+    """A token bucket with the rate and burst of a plan."""
+
     plan: AccountPlan
     level: float
     updated_at: float = 0.0
 
     def take(self, units: float, now: float, consume: bool = True) -> bool:
-        """Whether it holds these units; they are taken where they are `wanted`."""
+        """Returns whether it holds these units; takes them if it does and `consume` is set."""
         self.level = min(self.plan.burst, self.level + self.plan.rate * max(0.0, now - self.updated_at))
         self.updated_at = max(self.updated_at, now)
         fits = self.level >= units - 1e-9
@@ -63,17 +71,19 @@
 
 @dataclass(slots=True)
 class QuotaDecision:
+    """One request of an account: forwarded (`sent`) or refused, and when."""
+
     time: float
     account: int
     units: float
     sent: bool
-    ingress: int = -1  # that decided
+    ingress: int = -1  # which decided; -1: unknown
 
 
 def replay(
     decisions: Iterable[QuotaDecision], plans: dict[int, AccountPlan], interval: tuple[float, float]
 ) -> dict[int, AccountUsage]:
-    """Plays what was decided on true stores; counts what fell into `span`."""
+    """Replays decisions on token buckets and returns the usage by account of those in `interval`."""
     buckets: dict[int, tuple[TokenBucket, TokenBucket]] = {}
     usage_by_account: dict[int, AccountUsage] = {}
     for decision in sorted(decisions, key=lambda decision: decision.time):
@@ -94,8 +104,12 @@
 
 @dataclass(slots=True)
 class PlanDeviation:
-    """Of a tariff, in percent: what was sent on beyond the quotas over these, at its worst account and in
-    all, and what an ideal store lets in and the ingresses did not, over the former."""
+    """How far a plan's accounts were from ideal decisions, in percent.
+
+    `overshoot`: units forwarded over the quota as a share of the quota, of the worst account;
+    `mean_overshoot`: the mean over the accounts. `wrongly_refused`: units that an ideal bucket admits and the
+    fleet refused, as a share of those that the ideal bucket admits.
+    """
 
     overshoot: float = 0.0
     mean_overshoot: float = 0.0
@@ -106,6 +120,7 @@
 def deviation_by_plan(
     usage_by_account: dict[int, AccountUsage], plans: dict[int, AccountPlan], seconds: float
 ) -> dict[str, PlanDeviation]:
+    """Sums up usage by plan name. `plans`: by account; `seconds`: length of the interval replayed."""
     deviations = {plan.name: PlanDeviation() for plan in plans.values()}
     for name, deviation in deviations.items():
         usages = [
@@ -126,7 +141,7 @@
 
 @dataclass(slots=True)
 class Account:
-    """An account as its requests come: its ingresses, how unevenly, and what it asks a second (units)."""
+    """An account as a source of load: which ingresses it uses, how unevenly, and how many units a second."""
 
     number: int
     plan: AccountPlan
@@ -135,7 +150,7 @@
     ingress_weights: list[float] = field(default_factory=list)
 
     def member_ingresses(self, ingress_count: int) -> list[int]:
-        """Those of the ingresses that its requests come through, in their order."""
+        """Returns the ingresses that its requests come through, from the first on."""
         return [
             (self.first_ingress + offset) % ingress_count
             for offset in range(min(self.plan.spread, ingress_count))
@@ -143,7 +158,10 @@
 
 
 class AccountLoad:
-    """Requests of all accounts by a seeded plan; whose busiest ingress is changes each `shift` seconds."""
+    """Seeded requests of all accounts, spread unevenly over the ingresses of each.
+
+    How they are spread is drawn anew every `shift_interval` seconds.
+    """
 
     def __init__(
         self, plans: Iterable[AccountPlan], ingress_count: int, seed: int, shift_interval: float = 6.0
@@ -164,7 +182,7 @@
         self.plan_by_account = {account.number: account.plan for account in self.accounts}
 
     def shift_traffic(self, account: Account) -> None:
-        """Its requests shift to others of its ingresses."""
+        """Draws anew how the requests of an account are spread over its ingresses."""
         account.ingress_weights = [
             1 / (rank + 1) for rank in range(len(account.member_ingresses(self.ingress_count)))
         ]
@@ -173,7 +191,7 @@
     def requests(
         self, seconds: float, units: tuple[int, ...] = (1, 1, 2)
     ) -> list[tuple[float, int, int, int]]:
-        """When, account's place in `customers`, units, and the ingress."""
+        """Returns (time, index in `accounts`, units, ingress) of each request, in order of time."""
         found = []
         mean_units = sum(units) / len(units)
         for index, account in enumerate(self.accounts):
@@ -192,10 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeviationBound:
-    """What leases promise of a tariff's accounts in `span` seconds without the counter, in percent.
-
-    The terms are those of `docs/design/leases.md`.
-    """
+    """The greatest deviation that leases allow a plan's accounts, in percent; see `docs/design/leases.md`."""
 
     overshoot: float
     wrongly_refused: float
@@ -204,12 +219,14 @@
 def deviation_bound(
     plan: AccountPlan, seconds: float, max_units: float, ingress_count: int
 ) -> DeviationBound:
+    """Returns the bound for `seconds` without the counter. `max_units`: the most that one request costs."""
     spread = min(plan.spread, ingress_count)
-    # What stands for others is told one request late, and totals are floored, at each ingress once.
+    # Each other ingress reports its units one request late, and each ingress rounds its total down once.
     late_units = (spread - 1) * max_units + spread
-    # Who had not met the account before the cut takes it to have used half of its quota.
+    # An ingress that had not seen the account before the outage assumes that half of its quota is used.
     unknown_units = 0.5 * plan.burst * (spread - 1) / spread
-    # Rights are even and use is not: what the busiest ingress asks over its part, if nothing is granted.
+    # The quota is divided evenly and the load is not: what the busiest ingress asks beyond its part, if its
+    # peers grant it nothing.
     weights = [1 / (rank + 1) for rank in range(spread)]
     uneven = weights[0] / sum(weights) - 1 / spread
     quota = plan.quota(seconds)
--- a/opalgauge/lab/replica_simulation.py
+++ b/opalgauge/lab/replica_simulation.py
@@ -1,4 +1,4 @@
-"""Replicated state in virtual time: many copies, lossy messages, clocks that differ, cuts and restarts."""
+"""Simulates the replicas of a fleet in virtual time: lossy messages, skewed clocks, partitions, restarts."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 from opalgauge.replica.gossip import Gossip, Say
 from opalgauge.replica.store import Store
 
-MAX_RECEIVED_PER_SECOND = 100  # messages a second that an ingress takes in
+MAX_RECEIVED_PER_SECOND = 100  # messages that a replica accepts; further ones are dropped
 
 
 @dataclass(slots=True)
 class Scenario:
-    """`changes` a second of bans and judgements until `calm`, then nothing but what is left to say."""
+    """Random bans and ejections until `changes_until`, then only the messages that are still needed.
+
+    Times are in seconds, shares of the messages from 0 to 1.
+    """
 
     replicas: int = 5
     seconds: float = 30.0
@@ -23,29 +26,30 @@
     changes_per_second: float = 4.0
     seed: int = 1
     drop: float = 0.072
-    duplicate: float = 0.05  # of the messages come a second time
+    duplicate: float = 0.05  # share that arrives twice
     delay: tuple[float, float] = (0.002, 0.017)
-    clock_skew: float = 0.0  # s: clocks differ by as much, either way
-    # From, until, the first so many hear none of the others.
+    clock_skew: float = 0.0  # clocks differ from the true time by as much at most
+    # From, until, size of the group of first replicas that the others are cut off from.
     partition: tuple[float, float, int] = (0.0, 0.0, 0)
     restarts: tuple[tuple[float, int], ...] = ()
 
 
 @dataclass(slots=True)
 class Result:
+    """What a run measured."""
+
     change_count: int = 0
-    converged_after: float | None = (
-        None  # s from the last change or fault until all copies were equal for good
-    )
-    max_sent_per_second: int = 0  # by one copy in one second
+    # Seconds from the last change or fault until all replicas were equal for good.
+    converged_after: float | None = None
+    max_sent_per_second: int = 0  # messages of one replica
     max_received_per_second: int = 0
-    bytes_sent_per_second: float = 0.0  # by one copy in a second, over the scene
+    bytes_sent_per_second: float = 0.0  # of one replica, mean
     catch_up_times: list[float] = field(default_factory=list)
     max_message_size: int = 0
 
 
 class ReplicaSimulation(Simulation):
-    """A scene."""
+    """Runs a scenario with the gossip code that serves."""
 
     def __init__(self, scenario: Scenario) -> None:
         super().__init__(scenario.seed)
@@ -77,6 +81,7 @@
         )
 
     def run(self) -> Result:
+        """Runs the scenario to its end."""
         last_fault = max(
             [
                 self.scenario.changes_until,
--- a/opalgauge/lab/server_model.py
+++ b/opalgauge/lab/server_model.py
@@ -1,7 +1,7 @@
-"""Stock nodes with a capacity: cores that work off what comes in turn, slower while the node is cold.
+"""Upstream servers with a limited capacity, which is lower for a while after a restart.
 
-The model is pure (`Model`, stepped by arrivals); `Node` puts it behind a socket. What a request costs is
-drawn from its id, so the same load costs the same whoever serves it.
+`ServerModel` is pure and stepped by arrivals; `ModelledServer` puts it behind a socket. The work of a request
+is drawn from its id, so that the same load costs the same whichever server gets it.
 """
 
 from __future__ import annotations
@@ -18,33 +18,39 @@
 
 @dataclass(slots=True)
 class ServerModel:
-    """`cores` at full speed do one second's work a second each. Times in seconds."""
+    """A first-come-first-served queue in front of `cores`, each of which does one second of work a second.
+
+    After a restart the capacity rises from `initial_capacity` (a share) to 1 in `warm_up` seconds. Times are
+    in seconds.
+    """
 
     cores: int = 1
     mean_work: float = 0.06
     warm_up: float = 8.0
     initial_capacity: float = 0.21
-    max_queued_work: float = 6.0  # seconds of work that may wait, all cores together
+    max_queued_work: float = 6.0  # seconds of work that may wait, over all cores
     slowdown: float = 1.0
     started_at: float = -1e9
     core_free_at: list[float] = field(default_factory=list)
-    arrivals: list[tuple[float, float]] = field(default_factory=list)  # when, work: also what was turned away
+    arrivals: list[tuple[float, float]] = field(default_factory=list)  # time and work, rejected ones included
 
     def capacity(self, now: float) -> float:
-        """Of its capacity, at this moment."""
+        """Returns the capacity at this moment as a share of the full one."""
         progress = (now - self.started_at) / self.warm_up
         return (
             min(1.0, self.initial_capacity + (1 - self.initial_capacity) * max(0.0, progress)) / self.slowdown
         )
 
     def work_of(self, request_id: str) -> float:
+        """Returns the seconds of work of a request, log-normal with the mean `mean_work`."""
         return self.mean_work * random.Random(request_id).lognormvariate(-0.125, 0.5)
 
     def restart(self, now: float) -> None:
+        """Empties the queue and starts over at the initial capacity."""
         self.started_at, self.core_free_at = now, []
 
     def arrive(self, now: float, request_id: str) -> float | None:
-        """When it will be answered; None: turned away, as too much waits."""
+        """Returns when the request will be answered, or None if the queue is full and it is rejected."""
         work = self.work_of(request_id)
         self.arrivals.append((now, work))
         self.core_free_at = self.core_free_at or [now] * self.cores
@@ -56,7 +62,10 @@
         return self.core_free_at[core]
 
     def overload(self, since: float, window: float = 3.0) -> float:
-        """The greatest ratio of the work sent to it to its capacity then, over any `span` from `since` on."""
+        """Returns the highest ratio of offered work to capacity in any window since `since`.
+
+        Windows are `window` seconds long and begin at an arrival, whose capacity counts for the whole window.
+        """
         worst, arrivals = 0.0, [(time, work) for time, work in self.arrivals if time >= since]
         for index, (start, _) in enumerate(arrivals):
             offered = sum(work for time, work in arrivals[index:] if time < start + window)
@@ -65,7 +74,11 @@
 
 
 class ModelledServer:
-    """A model behind a socket. `ran`: how often each id ran; `first`: when its first attempt came."""
+    """A server model behind a socket.
+
+    `executions` counts how often each request id ran and `first_attempts` holds when its first attempt came
+    (loop time); both are shared by all servers of a fleet.
+    """
 
     def __init__(
         self, name: str, model: ServerModel, executions: dict[str, int], first_attempts: dict[str, float]
@@ -77,6 +90,7 @@
         self.connections: set[Any] = set()
 
     async def start(self) -> None:
+        """Listens on a free port of loopback and sets `address`."""
         self.server = await self.loop.create_server(self._make_connection, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
@@ -84,6 +98,7 @@
         return HttpConnection(self.handle)
 
     def handle(self, connection: HttpConnection, head: bytes, _: bytes) -> None:
+        """Answers when the model says so; the load probe is answered at once."""
         if head.startswith(b"GET /status/load"):
             connection.answer(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ninflight=0")
             return
@@ -98,4 +113,5 @@
         self.loop.call_at(answer_at, connection.answer, DONE)
 
     def close(self) -> None:
+        """Stops listening."""
         self.server.close()
--- a/opalgauge/lab/simulation.py
+++ b/opalgauge/lab/simulation.py
@@ -1,4 +1,4 @@
-"""Discrete events in virtual time: what the scenes without sockets are stepped by."""
+"""Discrete-event simulation in virtual time, the base of the simulations that use no sockets."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from typing import Any
 
 EPOCH = datetime(2026, 12, 1, tzinfo=UTC)
-TICK_INTERVAL = 0.05  # s between two steps of a part that is stepped by time
+TICK_INTERVAL = 0.05  # s between two ticks of a simulated component
 
 
 class Simulation:
-    """A queue of what happens next; what falls on one instant in the order in which it was asked for."""
+    """A queue of timed callbacks; those due at the same instant run in the order they were scheduled in."""
 
     def __init__(self, seed: int) -> None:
         self.now, self.rng = 0.0, random.Random(seed)
@@ -28,7 +28,7 @@
         heapq.heappush(self._queue, (when, self._sequence, callback, args))
 
     def _run_next(self, until: float) -> bool:
-        """Does what comes next; False where nothing does up to then."""
+        """Runs the next callback that is due by `until`; returns False if there is none."""
         if not self._queue or self._queue[0][0] > until:
             return False
         self.now, _, callback, args = heapq.heappop(self._queue)
--- a/opalgauge/lab/skewed_clock.py
+++ b/opalgauge/lab/skewed_clock.py
@@ -1,5 +1,7 @@
-"""Starts the command line with a clock that is off:
-`python -m opalgauge.lab.skewed_clock SECONDS serve …`."""
+"""Starts the command line with a skewed clock.
+
+Run as `python -m opalgauge.lab.skewed_clock SECONDS serve …`; SECONDS is added to the true time.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +12,7 @@
 
 
 def main() -> None:
+    """Takes the skew off the command line, patches the clock and runs the command with what is left."""
     skew = timedelta(seconds=float(sys.argv.pop(1)))
     original_init = Clock.__init__
 
--- a/opalgauge/lab/stand_ins.py
+++ b/opalgauge/lab/stand_ins.py
@@ -1,8 +1,9 @@
-"""Stand-ins for stock nodes and quota counter, lean enough to measure an ingress against: one process each.
+"""Stand-ins for upstream servers and the quota counter, light enough to benchmark an ingress against.
 
-`python -m opalgauge.lab.stand_ins node|counter ADDRESS … [key=value …]`; SIGTERM prints what was seen as one
-JSON line and ends. A stock node answers a GET or POST after `delay` (s) and tallies the ids it was sent, and
-the units that a target tells as `/KIND/ACCOUNT/UNITS`. The counter keeps totals by name, each for its life.
+Run as a process: `python -m opalgauge.lab.stand_ins node|counter ADDRESS … [key=value …]`. On SIGTERM it
+prints a report as one line of JSON and exits. A server answers each GET or POST after `delay` (s), counts the
+request ids that it gets more than once, and adds up the units given in the target as `/CLASS/ACCOUNT/UNITS`.
+The counter keeps named totals, each until it expires.
 """
 
 from __future__ import annotations
@@ -23,7 +24,10 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """Reads requests with at most a Content-Length body, one behind another, and hands each to `take`."""
+    """An HTTP server connection; calls `handler` with itself, the head and an empty body for each request.
+
+    Requests may be pipelined. A body needs a Content-Length and is dropped.
+    """
 
     def __init__(self, handler: Callable[[HttpConnection, bytes, bytes], None]) -> None:
         self.handler, self.buffer = handler, b""
@@ -45,12 +49,13 @@
             self.handler(self, head, b"")
 
     def answer(self, data: bytes) -> None:
+        """Writes `data`, unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
 
 class StandInServers:
-    """Any number of stock nodes in one process; they differ by address alone."""
+    """Any number of servers in one process, which share their state and differ by address alone."""
 
     def __init__(self, delay: float) -> None:
         self.delay = delay
@@ -60,6 +65,7 @@
         self.units: dict[str, float] = {}
 
     def handle(self, connection: HttpConnection, head: bytes, _: bytes) -> None:
+        """Records the request and answers it with 200."""
         path = head.split(b" ", 2)[1].decode("latin-1").split("/")
         id_at = head.find(b"X-Correlation-Id: ")
         request_id = head[id_at + 18 :].split(b"\r\n", 1)[0]
@@ -76,13 +82,14 @@
             connection.answer(DONE)
 
     def report(self) -> dict[str, Any]:
+        """Returns the number of requests, of repeated ids (`doubled`), and the units by account."""
         return {"requests": self.requests, "doubled": self.duplicates, "units": self.units}
 
 
 class StandInCounter:
-    """Named totals; a name is forgotten when the life that its first call told is over.
+    """The quota counter: named totals, each dropped when the expiry that its first call gave has passed.
 
-    `work`: seconds that each call takes in its turn; 0: none, and all are answered at once.
+    `work`: seconds that each call takes; calls are processed one after another. 0: all are answered at once.
     """
 
     def __init__(self, work: float = 0.0) -> None:
@@ -92,6 +99,7 @@
         self.calls = 0
 
     def handle(self, connection: HttpConnection, head: bytes, _: bytes) -> None:
+        """Adds to a total and answers with it, or with 400 where the query is malformed."""
         self.calls += 1
         target = head.split(b" ", 2)[1]
         name, _q, query = target.partition(b"?")
@@ -120,13 +128,15 @@
         connection.answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def report(self) -> dict[str, Any]:
+        """Returns the number of calls, and what was added to each name in all, whether expired or not."""
         return {"calls": self.calls, "sums": self.sums}
 
 
-async def serve(kind: str, addresses: list[str], options: dict[str, str]) -> None:
+async def serve(role: str, addresses: list[str], options: dict[str, str]) -> None:
+    """Serves on `addresses` until SIGTERM, then prints the report. `role`: node or counter."""
     loop = asyncio.get_running_loop()
     stand_in: StandInServers | StandInCounter = (
-        StandInServers(float(options.get("delay", 0))) if kind == "node" else StandInCounter()
+        StandInServers(float(options.get("delay", 0))) if role == "node" else StandInCounter()
     )
     for address in addresses:
         host, _, port = address.rpartition(":")
--- a/opalgauge/lab/testbed.py
+++ b/opalgauge/lab/testbed.py
@@ -1,4 +1,4 @@
-"""An ingress of its own between stand-ins, each a process, for a measurement. Everything is on loopback."""
+"""Starts an ingress with stand-ins for its servers and counter, each a process on loopback, to measure it."""
 
 from __future__ import annotations
 
@@ -24,11 +24,12 @@
 ENTREPRISE_DIRECTIVE = (
     "tariff entreprise rate=60/s burst=120 price=1.3 ceiling-rate=120/s ceiling-burst=240 ceiling-slack=24"
 )
-CEILING = 120.0, 240.0, 24.0  # units a second, depth, slack of it
-WINDOWS = {"negoce": 10.0, "entreprise": 2.0}  # s
+CEILING = 120.0, 240.0, 24.0  # rate (units a second), burst and slack of entreprise
+WINDOWS = {"negoce": 10.0, "entreprise": 2.0}  # s, the counting window of each plan
 
 
 def start_module(module: str, *arguments: str) -> subprocess.Popen[str]:
+    """Starts a module as a process whose standard output can be read."""
     return subprocess.Popen(
         [sys.executable, "-m", module, *arguments],
         stdout=subprocess.PIPE,
@@ -38,6 +39,7 @@
 
 
 def settings_text(port: int, workers: int, counter: str, servers: Sequence[str], extra: str = "") -> str:
+    """Returns the settings file of the ingress. `extra`: further directives."""
     server_lines = [f"stock-node s-{index} {address}" for index, address in enumerate(servers)]
     return "\n".join([
         f"listen 127.0.0.1:{port}", f"workers {workers}", f"counter {counter}", "most-units 4",
@@ -50,7 +52,11 @@
 
 @dataclass
 class Testbed:
-    """`ingress` is its first process. `lines` is its log."""
+    """An ingress under test and its stand-ins.
+
+    `ingress` is its first process, `log` its log lines so far. `reports` is filled by `close`: what the
+    stand-ins reported, by their names.
+    """
 
     address: str
     ingress: subprocess.Popen[str]
@@ -59,14 +65,16 @@
     reports: dict[str, list[dict[str, Any]]] = field(default_factory=dict)
 
     def processes(self) -> list[psutil.Process]:
+        """Returns all processes of the ingress."""
         first = psutil.Process(self.ingress.pid)
         return [first, *first.children(recursive=True)]
 
     def worker_process(self, number: int) -> psutil.Process:
+        """Returns the process of a worker. Raises StopIteration if there is none."""
         return next(process for process in self.processes() if f"seat={number}" in process.cmdline())
 
     def resource_usage(self) -> tuple[float, float]:
-        """CPU seconds so far and resident MB of the ingress, all its processes together."""
+        """Returns CPU seconds so far and resident MiB, summed over the processes of the ingress."""
         cpu = memory = 0.0
         for process in self.processes():
             with contextlib.suppress(psutil.Error):
@@ -76,7 +84,7 @@
         return cpu, memory
 
     def close(self) -> None:
-        """Stops the ingress, then the stand-ins, and reads what these saw."""
+        """Stops the ingress, then the stand-ins, and reads their reports."""
         _stop(self.ingress)
         for name, processes in self.stand_ins.items():
             self.reports[name] = []
@@ -98,13 +106,17 @@
 
 def _read(stream: IO[str], log: list[str]) -> None:
     for line in iter(stream.readline, ""):
-        log.append(line.rstrip())  # one at a time: it is looked at while more come
+        log.append(line.rstrip())  # line by line: the list is read while more lines come
 
 
 @contextlib.contextmanager
 def testbed(
     workers: int, servers: int = 4, server_processes: int = 2, delay: float = 0.0, extra_settings: str = ""
 ) -> Iterator[Testbed]:
+    """Starts stand-ins and an ingress, waits until it is ready, and stops all of them at the end.
+
+    `delay`: seconds that the servers take to answer. Raises RuntimeError if a process does not come up.
+    """
     ports = free_ports(servers + 2)
     port, counter_port, *server_ports = ports
     addresses = [f"127.0.0.1:{process}" for process in server_ports]
@@ -149,10 +161,12 @@
 
 
 def start_load_generators(specs: Sequence[dict[str, Any]]) -> list[subprocess.Popen[str]]:
+    """Starts a load generator for each spec; see `opalgauge.lab.load_generator`."""
     return [start_module("opalgauge.lab.load_generator", json.dumps(spec)) for spec in specs]
 
 
 def load_results(processes: Sequence[subprocess.Popen[str]], timeout: float) -> list[dict[str, Any]]:
+    """Returns the reports of load generators; kills them all if one takes longer than `timeout` seconds."""
     reports = []
     deadline = time.monotonic() + timeout
     try:
--- a/opalgauge/lab/zone_simulation.py
+++ b/opalgauge/lab/zone_simulation.py
@@ -1,6 +1,6 @@
-"""Zones in virtual time: gateways with their watches, lossy messages, nodes with capacities; no sockets.
+"""Simulates zones in virtual time: gateways with their zone watches, lossy messages, servers with capacities.
 
-For sizes that no machine here holds as processes. The model of a node and the judges are those that serve.
+For fleets too large to run as processes on one machine. The gateways and the watches are those that serve.
 """
 
 from __future__ import annotations
@@ -21,7 +21,10 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """Sizes, load and what goes wrong; times in seconds. `cut`: a zone goes, and is back, cold."""
+    """Size, load and faults; times in seconds.
+
+    `outage`: the first zone fails, and returns with cold servers.
+    """
 
     ingresses: int = 50
     zones: int = 3
@@ -35,12 +38,14 @@
     outage: tuple[float, float] = (3.0, 9.0)
     drop: float = 0.072
     delay: tuple[float, float] = (0.002, 0.017)
-    stated_ingresses: int = 0  # how many ingresses the settings say there are; 0: as many as there are
+    stated_ingresses: int = 0  # number of ingresses in the settings; 0: the true one
     restarts: tuple[tuple[float, int], ...] = ()
 
 
 @dataclass(slots=True)
 class Result:
+    """What a run measured. The zone is the one that fails."""
+
     requests: int = 0
     served: int = 0
     late: int = 0
@@ -48,16 +53,16 @@
     failed: int = 0
     duplicates: int = 0
     unanswered: int = 0
-    max_overload: float = 0.0  # of the worst node of the zone that returned
+    max_overload: float = 0.0  # of the worst server of the zone after its return
     first_failure: float | None = None
-    last_attempt: float | None = None  # to the zone that was cut, before it was back
-    max_received_per_second: int = 0  # that reached one ingress in one second
+    last_attempt: float | None = None  # to the zone during the outage
+    max_received_per_second: int = 0  # messages to one ingress
     max_message_size: int = 0
-    left_at: list[float] = field(default_factory=list)  # when each ingress left it
+    left_at: list[float] = field(default_factory=list)  # when an ingress left the zone
 
 
 class ZoneSimulation(Simulation):
-    """Everything of a scene."""
+    """Runs a scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         super().__init__(scenario.seed)
@@ -76,7 +81,9 @@
         self.received: list[dict[int, int]] = [{} for _ in range(scenario.ingresses)]
         self.attempts: dict[int, int] = {}
         self.pending: dict[int, tuple[float, i.Request]] = {}
-        self.in_flight: dict[tuple[int, int, int], tuple[int, int]] = {}  # gate, request, attempt: node, life
+        self.in_flight: dict[
+            tuple[int, int, int], tuple[int, int]
+        ] = {}  # (ingress, request, attempt) -> (server, generation)
         for ingress in range(scenario.ingresses):
             self.gateways.append(self._make_gateway(ingress, 0))
             self.watches.append(self._make_watch(ingress))
@@ -111,6 +118,7 @@
         return watch
 
     def run(self) -> Result:
+        """Runs the scenario until its last requests are answered or past their deadline."""
         while self._run_next(self.scenario.seconds + DEADLINE + 1):
             pass
         self.result.unanswered = len(self.pending)
@@ -118,7 +126,7 @@
         self.result.max_overload = max(model.overload(self.scenario.outage[1]) for model in returned)
         return self.result
 
-    # --- what happens --------------------------------------------------------------------------------------
+    # --- events ---------------------------------------------------------------------------------------------
     def _in_outage(self, server: int) -> bool:
         return (
             server <= self.scenario.servers_per_zone
@@ -140,7 +148,7 @@
         self._schedule(self.now + self.rng.expovariate(self.scenario.rate), self._arrive, number + 1)
 
     def _restart(self, ingress: int) -> None:
-        """It knows nothing any more; what it held is nobody's loss here."""
+        """Restarts an ingress without its state; the requests that it held are not counted as unanswered."""
         self.generations[ingress] += 1
         for key in [key for key in self.in_flight if key[0] == ingress]:
             self.pending.pop(key[1], None)
@@ -256,7 +264,7 @@
             return
         server, _ = self.in_flight.pop((ingress, request, attempt))
         if end is i.End.OK and self._in_outage(server):
-            end = i.End.RESET  # it went while it worked on it
+            end = i.End.RESET  # the server failed while it worked on the request
         if end in (i.End.CONNECT_FAILED, i.End.RESET) and self.result.first_failure is None:
             self.result.first_failure = self.now
         took = timedelta(seconds=self.now - started)
