--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -116,8 +116,8 @@
         seed = config.house.seed + self.me * 7919 + self.life  # no two lives draw alike
         house = part_of(replace(config.house, seed=seed), start.workers)
         self.tariffs = house.settings.plans
-        self.units = house.settings.most_units
-        self.harmless = [c.effect.value == "safe" for c in house.settings.classes]
+        self.units = house.settings.max_units
+        self.harmless = [c.idempotency.value == "safe" for c in house.settings.classes]
         self.exchange = Exchange(
             Reducer(house), self.now, NodeListReader(config.zones), self.log, self._nothing_owed
         )
--- a/opalgauge/lab/leases.py
+++ b/opalgauge/lab/leases.py
@@ -80,12 +80,12 @@
 
     def _gate(self, me: int) -> Gateway:
         settings = i.Settings(
-            classes=(i.RequestClass(1.2, 5.0),), plans=self.plans, gateways=self.s.ingresses, me=me,
-            counter=True, counter_timeout=TIMEOUT, most_units=2.0,
+            classes=(i.RequestClass(1.2, 5.0),), plans=self.plans, gateways=self.s.ingresses,
+            gateway_index=me, use_counter=True, counter_timeout=TIMEOUT, max_units=2.0,
         )  # fmt: skip
         gate = Gateway(settings, self.s.seed * 1000 + me + 77 * self.life[me])
         nodes = tuple(i.ServerEntry(n, i.Health.READY) for n in range(1, 40))
-        gate.handle(EPOCH.timestamp() + self.now, [i.ServerList(i.ListKind.WHOLE, nodes)])
+        gate.handle(EPOCH.timestamp() + self.now, [i.ServerList(i.ListKind.COMPLETE, nodes)])
         return gate
 
     def _leases(self, me: int) -> Leases | None:
@@ -170,14 +170,14 @@
         leases = self.leases[me]
         for action in leases.take() if leases is not None else ():
             if isinstance(action, TellTotal):  # in the order of the asks, as events are taken
-                counted = i.Counted(action.name, action.took.total_seconds(), action.end, action.total)
+                counted = i.CountOutcome(action.name, action.took.total_seconds(), action.end, action.total)
                 self._at(self.now, self._told, me, self.life[me], counted)
             elif isinstance(action, CallCounter):
                 self._call(me, action.token, action.name, action.amount, action.life.total_seconds())
             elif isinstance(action, SendMessage):
                 self._say(me, action)
 
-    def _told(self, me: int, life: int, counted: i.Counted) -> None:
+    def _told(self, me: int, life: int, counted: i.CountOutcome) -> None:
         if life == self.life[me]:
             self._give(me, counted)
 
@@ -210,7 +210,7 @@
         work = self.s.counter_ms / 1000 * (self.s.slow if in_cut else 1.0)
         begin = max(self.now + way, self.free_at)
         if begin - self.now > 2 * TIMEOUT:
-            self._at(self.now + 2 * way, self._counted, *about, i.End.FULL, 0.0, 1)
+            self._at(self.now + 2 * way, self._counted, *about, i.End.REJECTED, 0.0, 1)
             return
         self.free_at = begin + work
         self._at(begin + work, self._add, name, amount, life, about, begin + work + way)
@@ -234,4 +234,4 @@
             leases.counted(token, end, total, self._when())
             self._act(me)
         else:
-            self._give(me, i.Counted(name, self.now - made, end, total))
+            self._give(me, i.CountOutcome(name, self.now - made, end, total))
--- a/opalgauge/lab/request.py
+++ b/opalgauge/lab/request.py
@@ -41,14 +41,14 @@
 SETTINGS = i.Settings(
     classes=(
         i.RequestClass(0.4, 1.2, 2.0),
-        i.RequestClass(0.8, 3.0, 5.0, effect=i.Effect.UNSAFE),
+        i.RequestClass(0.8, 3.0, 5.0, idempotency=i.Idempotency.UNSAFE),
     ),
     plans=(i.Plan(rate=1e5, burst=1e6),),
-    most_units=4.0,
-    counter=True,
+    max_units=4.0,
+    use_counter=True,
     counter_timeout=0.08,
     max_attempts=4,
-    cancel=True,
+    allow_cancel=True,
 )
 NODES = tuple(ev.StockNode(f"127.0.0.1:{7000 + n}", i.ServerEntry(n, i.Health.READY)) for n in range(1, 5))
 TOTAL = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5"
@@ -190,7 +190,7 @@
     def __init__(self) -> None:
         self.now, self.number, self.total = 1e6, 0, 0.0
         self.gateway = Gateway(SETTINGS, 5)
-        self.gateway.handle(self.now, [i.ServerList(i.ListKind.WHOLE, tuple(n.entry for n in NODES))])
+        self.gateway.handle(self.now, [i.ServerList(i.ListKind.COMPLETE, tuple(n.entry for n in NODES))])
 
     def run(self, many: int) -> None:
         handle = self.gateway.handle
@@ -203,7 +203,7 @@
                 for action in actions:
                     if isinstance(action, i.Count):
                         self.total += action.amount
-                        news.append(i.Counted(action.name, 0.001, i.End.OK, self.total))
+                        news.append(i.CountOutcome(action.name, 0.001, i.End.OK, self.total))
                     elif isinstance(action, i.Send):
                         news.append(i.Outcome(self.number, 0, action.server, i.End.OK, 0.005, True))
 
--- a/opalgauge/lab/zones.py
+++ b/opalgauge/lab/zones.py
@@ -86,13 +86,14 @@
         settings = i.Settings(
             classes=(
                 i.RequestClass(AIM, DEADLINE, 1.0),
-                i.RequestClass(AIM, DEADLINE, 2.0, effect=i.Effect.UNSAFE),
+                i.RequestClass(AIM, DEADLINE, 2.0, idempotency=i.Idempotency.UNSAFE),
             ),
-            plans=(i.Plan(),), gateways=self.s.ingresses, me=me, zone=me % self.s.zones, max_attempts=4,
-            cancel=True, probes=True, cold=self.s.cold, cold_from=0.21, fall=3.0, fall_multiple=4.0,
+            plans=(i.Plan(),), gateways=self.s.ingresses, gateway_index=me,
+            zone=me % self.s.zones, max_attempts=4, allow_cancel=True, allow_probes=True,
+            slow_start_duration=self.s.cold, slow_start_share=0.21, collapse_time=3.0, collapse_ratio=4.0,
         )  # fmt: skip
         gate = Gateway(settings, self.s.seed * 1000 + me + life * 77)
-        gate.handle(self.now, [i.ServerList(i.ListKind.WHOLE, self.entries)])
+        gate.handle(self.now, [i.ServerList(i.ListKind.COMPLETE, self.entries)])
         return gate
 
     def _watch(self, me: int) -> Watch:
@@ -210,9 +211,9 @@
             when, end = self.now + DIAL, i.End.CONNECT_FAILED
         else:
             done = self.models[a.server - 1].arrive(self.now, str(a.request))
-            when, end = (done, i.End.OK) if done is not None else (self.now + 0.001, i.End.FULL)
-            if when > a.stop_at:
-                when, end = a.stop_at, i.End.TIMEOUT
+            when, end = (done, i.End.OK) if done is not None else (self.now + 0.001, i.End.REJECTED)
+            if when > a.deadline:
+                when, end = a.deadline, i.End.TIMEOUT
         self._at(when, self._end, me, self.life[me], a.request, n, end, self.now)
 
     def _end(self, me: int, life: int, request: int, n: int, end: i.End, begun: float) -> None:
--- a/opalgauge/lifecycle/config.py
+++ b/opalgauge/lifecycle/config.py
@@ -102,11 +102,13 @@
     for n, row in enumerate(told["classes"]):
         # Guards against taking a class for one that may be repeated because nobody said that it may not.
         need("effect" in row, f"classes[{n}].effect: missing")
-    need(0 <= settings.me < settings.gateways, "me: no number among the balancers")
+    need(0 <= settings.gateway_index < settings.gateways, "me: no number among the balancers")
     need(settings.max_attempts >= 1, "ceilings.try_limit: must be 1 or more")
-    need(0 < settings.most_units < math.inf, "domain.units_top: must be above 0")
-    need(not settings.counter or 0 < settings.counter_timeout < math.inf, "domain.counter_timeout: above 0")
-    need(0 < settings.keeps_open < math.inf, "ceilings.conn_idle: must be above 0")
+    need(0 < settings.max_units < math.inf, "domain.units_top: must be above 0")
+    need(
+        not settings.use_counter or 0 < settings.counter_timeout < math.inf, "domain.counter_timeout: above 0"
+    )
+    need(0 < settings.idle_timeout < math.inf, "ceilings.conn_idle: must be above 0")
     need(0 < dial_timeout < math.inf, "ceilings.dial_timeout: must be above 0")
 
 
@@ -115,8 +117,8 @@
         told_settings = told["settings"]
         settings, _ = read_settings("\n".join(flatten(told_settings)))
         zones = tuple(str(z) for z in told_settings.get("zones", ()))
-        keeps = timedelta(seconds=settings.keeps_open * IDLE_SHARE)
-        settings = replace(settings, keeps_open=keeps.total_seconds())
+        keeps = timedelta(seconds=settings.idle_timeout * IDLE_SHARE)
+        settings = replace(settings, idle_timeout=keeps.total_seconds())
         sockets = int(told.get("limits", {}).get("sockets", 1024))
         known = told.get("known") or {}
         # Half for clients, of whose requests at most a third of all descriptors is open; most of the rest
@@ -154,7 +156,7 @@
         trade = Trade(
             [(str(c["name"]), c.get("effect") == "retryable") for c in told_settings["classes"]],
             [str(t["name"]) for t in told_settings["tiers_of_service"]],
-            settings.most_units,
+            settings.max_units,
             settings.gateways,
         )
         peering = None
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -87,8 +87,10 @@
         from opalgauge.zones.watch import Rules as ZoneRules
 
         usual = tuple(timedelta(seconds=c.aim / 5) for c in s.classes)
-        cold = timedelta(seconds=s.cold)
-        zones = ZoneRules(config.zones, s.gateways, s.me, usual, cold, s.cold_from, peering.acts)
+        cold = timedelta(seconds=s.slow_start_duration)
+        zones = ZoneRules(
+            config.zones, s.gateways, s.gateway_index, usual, cold, s.slow_start_share, peering.acts
+        )
         judge = ZoneChannel(zones, wire, peering.secret, seed, exchange.report, clock.now, log)
         exchange.do[fx.AttemptSeen] = judge.seen
         exchange.do[fx.NodesListed] = judge.listed
@@ -100,7 +102,7 @@
 
         plans = tuple((p.rate, p.burst) for p in s.plans)
         ahead, grants = peering.leases in ("ahead", "on"), peering.leases == "on"
-        leases = LeaseRules(s.me, s.gateways, plans, ahead, grants)
+        leases = LeaseRules(s.gateway_index, s.gateways, plans, ahead, grants)
         holder = LeaseChannel(leases, wire, peering.secret, seed, exchange.report, clock.now, log)
         exchange.do[fx.AccountMet] = holder.met
         exchange.do[fx.CountAsked] = holder.asked
@@ -113,7 +115,7 @@
 
         gateway = exchange.reducer.gateway
         copy = ReplicaChannel(
-            s.me, s.gateways, wire, peering.secret, seed, exchange.report, clock.now,
+            s.gateway_index, s.gateways, wire, peering.secret, seed, exchange.report, clock.now,
             lambda: ejections(gateway, clock.now().timestamp()),
         )  # fmt: skip
         exchange.do[fx.MarkMade] = copy.marked
--- a/opalgauge/memory/reducer.py
+++ b/opalgauge/memory/reducer.py
@@ -85,7 +85,7 @@
             ev.NodeListAnswered: self._node_list_answered,
             ev.Woken: self._woken,
             ev.Readdressed: self._readdressed,
-            ev.NodesNamed: lambda e: self._take_list(i.ListKind.WHOLE, e.nodes),
+            ev.NodesNamed: lambda e: self._take_list(i.ListKind.COMPLETE, e.nodes),
             ev.DrainAsked: self._drain_asked,
             ev.MaintAsked: self._maint_asked,
             ev.MarksFound: self._marks_found,
@@ -248,8 +248,8 @@
         if more:  # a request is timed from its last byte
             answer_by = self._before_kill(self.now + house.body_limit)
         books.orders[event.order] = Order(
-            event.order, event.errand, event.kind, kind.effect is i.Effect.SAFE, answer_by, event.client,
-            first, core, coming=time_left if more else None,
+            event.order, event.errand, event.kind, kind.idempotency is i.Idempotency.SAFE, answer_by,
+            event.client, first, core, coming=time_left if more else None,
         )  # fmt: skip
         books.asking[event.client] = event.order
         # Guards against decisions that never come: the client gets its answer in any case.
@@ -425,21 +425,21 @@
         number = order.attempts if order else 0
         if order:
             order.attempts += 1
-        stop_at = min(datetime.fromtimestamp(action.stop_at, UTC), order.answer_by) if order else self.now
+        stop_at = min(datetime.fromtimestamp(action.deadline, UTC), order.answer_by) if order else self.now
         if order and order.coming is not None:
             stop_at = order.answer_by
         attempt = Attempt(action.request, number, action.server, self.now, stop_at)
         if order is None or number >= self.house.settings.max_attempts or stop_at <= self.now:
             # Guards against an attempt for what is over: the decisions hear that it was not sent.
-            self._ended(attempt, i.End.MOOT)
+            self._ended(attempt, i.End.NOT_SENT)
             return
         if order.poured or not self._may_repeat(order):
             # Guards against half a body, too: what came after its beginning is not kept to be sent again.
-            self._ended(attempt, i.End.MOOT)
+            self._ended(attempt, i.End.NOT_SENT)
             return
-        if not self.house.settings.parallel and order.out:
+        if not self.house.settings.allow_parallel and order.out:
             # Guards against a second attempt while the first is out, whoever asks for it.
-            self._ended(attempt, i.End.MOOT)
+            self._ended(attempt, i.End.NOT_SENT)
             return
         self.books.attempts[action.request, number] = attempt
         order.out += 1
@@ -490,7 +490,7 @@
         elif order is None or not self._may_repeat(order):
             # Its client has left, or its time for a repeat is over, while the connection came up.
             self._rest_or_close(line, True)
-            self._ended(attempt, i.End.MOOT)
+            self._ended(attempt, i.End.NOT_SENT)
         else:
             left = order.coming or max(NOTHING, attempt.stop_at - self.now)
             order.poured = order.errand.more
@@ -515,7 +515,7 @@
             self.books.tally.tries += 1
             order = self.books.orders.get(attempt.order)
             if order is not None and order.errand.more:
-                self.news.append(i.Written(attempt.order, attempt.number))
+                self.news.append(i.RequestWritten(attempt.order, attempt.number))
 
     def _ended(
         self, attempt: Attempt, end: i.End, load: dict[str, float] | None = None, units: float | None = None
@@ -525,7 +525,7 @@
         if self.house.judges_zones:
             self._seen(attempt, 0, end)
         if attempt.probe:
-            self.news.append(i.Probed(attempt.node, end, took, load or {}))
+            self.news.append(i.ProbeOutcome(attempt.node, end, took, load or {}))
             return
         was_out = self.books.attempts.pop((attempt.order, attempt.number), None) is not None
         order = self.books.orders.get(attempt.order)
@@ -544,12 +544,12 @@
     def _repeat_by(self, order: Order, attempt: Attempt) -> datetime | None:
         """Until when an order may be sent again of which `attempt` may have run; None: at any time."""
         kind = self.house.settings.classes[order.kind]
-        window = timedelta(seconds=kind.window) if kind.effect is i.Effect.KEYED else NOTHING
+        window = timedelta(seconds=kind.dedup_window) if kind.idempotency is i.Idempotency.KEYED else NOTHING
         return None if order.harmless else attempt.started + window
 
     def _meant(self, units: float | None) -> float | None:
         """Guards an account's quota against a stock node's figure that no request can have."""
-        return None if units is None else min(units, self.house.settings.most_units)
+        return None if units is None else min(units, self.house.settings.max_units)
 
     def _seen(self, attempt: Attempt, kind: int, end: i.End | None) -> None:
         """Tells whoever judges zones; a node that is listed no more says nothing of one."""
@@ -564,7 +564,7 @@
                 # Guards the first attempts after a return against connections that died unseen.
                 if node.entry.zone == event.zone:
                     self._close_idle(node.entry.server)
-        if event.trial and self.house.settings.probes:
+        if event.trial and self.house.settings.allow_probes:
             self._probe(i.Probe(event.trial))  # costs no client's request
             event = replace(event, trial=0)
         elif event.trial and event.share > 0:
@@ -809,7 +809,7 @@
             self._call_counter(CounterCall(action.name, action.amount, life, self.now))
 
     def _count_told(self, event: ev.CountTold) -> None:
-        self.news.append(i.Counted(event.name, event.took.total_seconds(), event.end, event.total))
+        self.news.append(i.CountOutcome(event.name, event.took.total_seconds(), event.end, event.total))
 
     def _count_wanted(self, event: ev.CountWanted) -> None:
         self._call_counter(CounterCall(event.name, event.amount, event.life, self.now, token=event.token))
@@ -850,7 +850,7 @@
                 self.out.append(fx.CountHeard(call.token, end, total))
                 return
             took = (self.now - call.made).total_seconds()
-            self.news.append(i.Counted(call.name, took, end, total))
+            self.news.append(i.CountOutcome(call.name, took, end, total))
 
     def _counter_late(self, line: Line, call: CounterCall) -> None:
         if call.told:
@@ -1104,7 +1104,7 @@
         if mark.out:
             self._close_idle(mark.node)
             self._drop_dials()
-        self.news.append(i.Banned(mark.node, mark.out, mark.at.timestamp()))
+        self.news.append(i.BanChanged(mark.node, mark.out, mark.at.timestamp()))
         self.out.append(fx.Log(f"maint: {mark.name} {'taken out' if mark.out else 'back in use'}"))
 
     # --- another process of this ingress -------------------------------------------------------------------
--- a/opalgauge/wire/node_list.py
+++ b/opalgauge/wire/node_list.py
@@ -68,7 +68,7 @@
         try:
             told = json.loads(reply.body)
             nodes = read_nodes(told["hosts"], self.zones)
-            kind = ListKind.WHOLE if told["whole"] else ListKind.CHANGES
+            kind = ListKind.COMPLETE if told["whole"] else ListKind.CHANGES
             return NodeListAnswered(line, reply.keep, int(told["seq"]), kind, nodes)
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError):
             return unread
--- a/opalgauge/wire/quota_counter.py
+++ b/opalgauge/wire/quota_counter.py
@@ -28,7 +28,7 @@
 def understand_total(line: int, reply: Reply) -> CounterAnswered:
     """A call that was turned away, or was none, has added nothing; whatever else cannot be read may have."""
     if reply.status in AWAY:
-        return CounterAnswered(line, End.FULL, 0.0, reply.keep)
+        return CounterAnswered(line, End.REJECTED, 0.0, reply.keep)
     if reply.status != 200 or not TOTAL.fullmatch(reply.body):
         # Guards against waiting on a connection that is of no further use: its next calls would all time out.
         return CounterAnswered(line, End.ERROR, 0.0, False)
--- a/opalgauge/wire/stock_nodes.py
+++ b/opalgauge/wire/stock_nodes.py
@@ -66,7 +66,7 @@
         kind = headers.get("Content-Type", "")
         return NodeAnswered(line, End.OK, reply.keep, reply.body, kind, load, true_units(headers))
     if reply.status in (503, 504) and headers.get("X-Unprocessed") == "1":
-        return NodeAnswered(line, End.FULL, reply.keep, load=load)
+        return NodeAnswered(line, End.REJECTED, reply.keep, load=load)
     return NodeAnswered(line, End.ERROR, reply.keep, load=load)
 
 
@@ -79,5 +79,5 @@
 
 def understand_probe(line: int, reply: Reply) -> NodeAnswered:
     if reply.status != 200:
-        return NodeAnswered(line, End.FULL if reply.status == 503 else End.ERROR, reply.keep)
+        return NodeAnswered(line, End.REJECTED if reply.status == 503 else End.ERROR, reply.keep)
     return NodeAnswered(line, End.OK, reply.keep, load=load_report(reply.body.decode("ascii", "replace")))
--- a/opalgauge/zones/watch.py
+++ b/opalgauge/zones/watch.py
@@ -149,8 +149,8 @@
         elif place.state is State.LEFT:
             # Only trials are sent there; one that is turned away has been answered.
             self.health.drop(effect.key)
-            if effect.end is not End.CANCELLED and effect.end is not End.MOOT:
-                good = effect.end in (End.OK, End.FULL)
+            if effect.end is not End.CANCELLED and effect.end is not End.NOT_SENT:
+                good = effect.end in (End.OK, End.REJECTED)
                 place.trials.append((now, good))
                 if good:  # whoever has an answer makes sure of it, and need not wait for its turn
                     place.next_trial = min(place.next_trial, now + AGAIN)
--- a/starlinggap/benchlink.py
+++ b/starlinggap/benchlink.py
@@ -33,8 +33,8 @@
     ends: dict[int, i.End]
     healths: dict[int, i.Health]
     lists: dict[int, i.ListKind]
-    effects: dict[str, i.Effect]
-    groups: dict[str, i.Group]
+    effects: dict[str, i.Idempotency]
+    groups: dict[str, i.DedupScope]
     retry_bit: int
     loads: dict[str, str]
     load_fields: str
@@ -77,17 +77,17 @@
     ends={
         100: i.End.OK,
         301: i.End.ERROR,
-        302: i.End.FULL,
+        302: i.End.REJECTED,
         303: i.End.TIMEOUT,
         304: i.End.CONNECT_FAILED,
         305: i.End.RESET,
         306: i.End.CANCELLED,
-        307: i.End.MOOT,
+        307: i.End.NOT_SENT,
     },
     healths={1: i.Health.READY, 2: i.Health.DRAINING, 0: i.Health.GONE},
-    lists={0: i.ListKind.CHANGES, 1: i.ListKind.WHOLE, 2: i.ListKind.CACHED, 3: i.ListKind.FAILED},
-    effects={"retryable": i.Effect.SAFE, "dedup": i.Effect.KEYED, "fragile": i.Effect.UNSAFE},
-    groups={"all": i.Group.ALL, "zone": i.Group.ZONE, "cell": i.Group.CELL},
+    lists={0: i.ListKind.CHANGES, 1: i.ListKind.COMPLETE, 2: i.ListKind.CACHED, 3: i.ListKind.FAILED},
+    effects={"retryable": i.Idempotency.SAFE, "dedup": i.Idempotency.KEYED, "fragile": i.Idempotency.UNSAFE},
+    groups={"all": i.DedupScope.ALL, "zone": i.DedupScope.ZONE, "cell": i.DedupScope.CELL},
     retry_bit=2,
     loads={
         "busy_reqs": "inflight",
@@ -100,26 +100,26 @@
     load_fields="load_info.fields",
     settings={
         "gateways": ("balancers", "int"),
-        "me": ("me", "int"),
+        "gateway_index": ("me", "int"),
         "zone": ("zone", "int"),
         "tick": ("tick", "float"),
-        "most_units": ("domain.units_top", "float"),
-        "settles": ("domain.trued_up", "bool"),
-        "counter": ("domain.shared_counter", "bool"),
+        "max_units": ("domain.units_top", "float"),
+        "charge_true_units": ("domain.trued_up", "bool"),
+        "use_counter": ("domain.shared_counter", "bool"),
         "counter_timeout": ("domain.counter_timeout", "float"),
         "meter_period": ("domain.meter_period", "float"),
         "max_attempts": ("ceilings.try_limit", "int"),
-        "parallel": ("ceilings.parallel_tries", "bool"),
-        "cancel": ("ceilings.cancelling", "bool"),
-        "probes": ("ceilings.probes", "bool"),
-        "keeps_open": ("ceilings.conn_idle", "float"),
+        "allow_parallel": ("ceilings.parallel_tries", "bool"),
+        "allow_cancel": ("ceilings.cancelling", "bool"),
+        "allow_probes": ("ceilings.probes", "bool"),
+        "idle_timeout": ("ceilings.conn_idle", "float"),
         "max_retry_after": ("ceilings.max_retry_after", "float"),
         "list_on_request": ("discovery", "on_request"),
-        "ask_within": ("invariants.ask_within", "float"),
-        "cold": ("invariants.cold", "float"),
-        "cold_from": ("invariants.cold_from", "float"),
-        "fall": ("invariants.fall", "float"),
-        "fall_multiple": ("invariants.fall_multiple", "float"),
+        "max_watch_interval": ("invariants.ask_within", "float"),
+        "slow_start_duration": ("invariants.cold", "float"),
+        "slow_start_share": ("invariants.cold_from", "float"),
+        "collapse_time": ("invariants.fall", "float"),
+        "collapse_ratio": ("invariants.fall_multiple", "float"),
         "cross_zone_price": ("prices.cross_zone", "float"),
     },
     rows={
@@ -130,9 +130,9 @@
                 "deadline": ("deadline", "float"),
                 "worth": ("credit", "float"),
                 "late_worth": ("late_value", "float"),
-                "effect": ("effect", "effect"),
-                "group": ("group", "group"),
-                "window": ("window", "float"),
+                "idempotency": ("effect", "effect"),
+                "dedup_scope": ("group", "group"),
+                "dedup_window": ("window", "float"),
                 "stream": ("stream", "bool"),
             },
         ),
@@ -234,7 +234,7 @@
                 self._load(who, f[8], f[9:]),
             )
         if kind == "sum":
-            return i.Counted(f[0], f[1], self._end(f[2]), f[3])
+            return i.CountOutcome(f[0], f[1], self._end(f[2]), f[3])
         if kind == "elapsed":
             return i.TimerFired(f[0])
         if kind == "client_gone":
@@ -242,9 +242,9 @@
         if kind == "head":
             return i.StreamStarted(f[0], f[1], f[3], f[2])
         if kind == "check":
-            return i.Probed(f[0], self._end(f[1]), f[2], self._load(who, f[3], f[4:]))
+            return i.ProbeOutcome(f[0], self._end(f[1]), f[2], self._load(who, f[3], f[4:]))
         if kind == "peer":
-            return i.PeerSaid(f[0], bytes(self._span(tail, f[1], f[2])))
+            return i.PeerMessage(f[0], bytes(self._span(tail, f[1], f[2])))
         size = struct.calcsize(self.d.entry)
         span = self._span(tail, f[2], f[3] * size)
         entries = []
@@ -259,7 +259,7 @@
     def _action(self, a: i.Action) -> bytes:
         code, form = self.d.actions[type(a).__name__]
         if isinstance(a, i.Send):
-            return struct.pack(form, code, a.request, a.server, a.stop_at)
+            return struct.pack(form, code, a.request, a.server, a.deadline)
         if isinstance(a, i.Count):
             return struct.pack(form, code, a.name, a.amount, a.ttl)
         if isinstance(a, i.Timer):
--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -12,7 +12,7 @@
 from collections import OrderedDict, deque
 
 from starlinggap import interface as i
-from starlinggap.interface import Action, Effect, End, Group, Health, ListKind
+from starlinggap.interface import Action, DedupScope, End, Health, Idempotency, ListKind
 from starlinggap.quota import LONGEST_NAME, TTL_WINDOWS, Account, counter_name, estimate, fits
 from starlinggap.slow_start import SlowStart
 
@@ -138,7 +138,7 @@
         self.sent: list[deque[Attempt]] = [deque() for _ in settings.classes]
         self.pace, self.unanswered = SHED_FROM, 0.0  # time over aim of the last answers; share without one
         self.ticking, self.listed_at = False, -math.inf
-        self.cold_part = min(1.0, settings.fall_multiple * TRUST_COLD / PEAK)
+        self.cold_part = min(1.0, settings.collapse_ratio * TRUST_COLD / PEAK)
 
     # --- events ------------------------------------------------------------------------------------------
     def handle(self, now: float, events: list[i.Event]) -> list[Action]:
@@ -149,14 +149,14 @@
         for event in events:
             if isinstance(event, i.ServerList):
                 self.on_list(event)
-            elif isinstance(event, i.Banned):
+            elif isinstance(event, i.BanChanged):
                 self.on_ban(event)
         for event in events:
             if isinstance(event, i.Request):
                 self.on_request(event)
             elif isinstance(event, i.Outcome):
                 self.on_outcome(event)
-            elif isinstance(event, i.Counted):
+            elif isinstance(event, i.CountOutcome):
                 self.on_counted(event)
             elif isinstance(event, i.TimerFired):
                 self.on_timer(event.token)
@@ -164,13 +164,13 @@
                 self.on_zone(event)
             elif isinstance(event, i.ClientGone) and (work := self.work.get(event.request)):
                 self.close(work)
-            elif isinstance(event, i.Written) and (work := self.work.get(event.request)):
+            elif isinstance(event, i.RequestWritten) and (work := self.work.get(event.request)):
                 if event.attempt in work.live:
                     work.deadline = self.now + work.request.budget
                     self.launch(work, work.attempts[event.attempt])
             elif isinstance(event, i.StreamStarted) and (work := self.work.get(event.request)):
                 work.streaming = True
-        if self.s.list_on_request and self.now - self.listed_at > self.s.ask_within / 4:
+        if self.s.list_on_request and self.now - self.listed_at > self.s.max_watch_interval / 4:
             self.listed_at = self.now
             self.actions.append(i.WatchList())
         if not self.ticking and (self.held or self.owing or self.customers):
@@ -202,18 +202,22 @@
     def on_request(self, request: i.Request) -> None:
         if request.request in self.work:
             return
-        s, c = self.s, self.customers.get(request.customer)
+        s, c = self.s, self.customers.get(request.account)
         cls, plan = s.classes[request.cls % len(s.classes)], s.plans[request.plan % len(s.plans)]
         if c is None:
-            c = self.customers[request.customer] = Account(request, plan, self.now, self.now - self.born)
-        self.customers.move_to_end(request.customer)
+            c = self.customers[request.account] = Account(request, plan, self.now, self.now - self.born)
+        self.customers.move_to_end(request.account)
         c.turn(self.now)
         c.seen = self.now
-        if request.parts != c.parts:  # its part here is split anew: what was one core's is several', or back
-            c.room *= min(1.0, c.parts / request.parts)
-            c.spread, c.parts = c.spread // c.parts * request.parts, request.parts
-        if request.held < math.inf:  # guards its ceiling against what another core has spent, not known here
-            c.room = min(c.room, plan.ceiling_rate / c.spread * request.held)
+        if (
+            request.account_workers != c.parts
+        ):  # its part here is split anew: what was one core's is several', or back
+            c.room *= min(1.0, c.parts / request.account_workers)
+            c.spread, c.parts = c.spread // c.parts * request.account_workers, request.account_workers
+        if (
+            request.exclusive_for < math.inf
+        ):  # guards its ceiling against what another core has spent, not known here
+            c.room = min(c.room, plan.ceiling_rate / c.spread * request.exclusive_for)
         work = self.work[request.request] = Work(request, cls, c, self.now)
         self.ranks.append(self.density(work))
         self.retries = min(RETRY_DEPTH, self.retries + RETRY_SHARE)
@@ -227,13 +231,13 @@
               or self.now < c.denied and c.deficit + work.cost > c.limit):  # fmt: skip
             # Guards the counter against what overload sheds, and against who repeats till the store has room.
             self.verdict(work, False)
-        elif s.counter and patience > 0 and self.asks(work):
+        elif s.use_counter and patience > 0 and self.asks(work):
             # Where a refusal is likely a pressed counter is only read first, which saves a refund.
             unlikely = self.ask < 1 and self.chance(work) < 0.5
             self.timer(patience, self.post(c, 0.0 if unlikely else work.cost, work))
         else:
             self.decide_alone(work)
-            if s.counter and self.now >= self.trial_at:
+            if s.use_counter and self.now >= self.trial_at:
                 self.post(c, 0.0, None)
 
     def asks(self, work: Work) -> bool:
@@ -259,7 +263,7 @@
         return call
 
     def owe(self, c: Account, amount: float, now: bool = False) -> None:
-        if amount and c.length and self.s.counter:
+        if amount and c.length and self.s.use_counter:
             c.debt_at = c.debt_at if c.debt else self.now
             c.debt += amount
             self.owing[c.id] = c
@@ -272,7 +276,7 @@
             self.cut_at = self.now
             self.ask, self.quick = self.ask * ASK_CUT, False
 
-    def on_counted(self, event: i.Counted) -> None:
+    def on_counted(self, event: i.CountOutcome) -> None:
         line = self.calls.get(event.name)
         if not line:
             return
@@ -288,15 +292,15 @@
             self.calls.setdefault(event.name, deque()).append(call)
             self.actions.append(i.Count(event.name, 0.0, min(LONGEST_NAME, TTL_WINDOWS * c.length)))
             return
-        jump = 2 * self.s.most_units * c.spread  # more than refunds in flight can make
+        jump = 2 * self.s.max_units * c.spread  # more than refunds in flight can make
         # A call with no answer is taken as counted, and taken back if its request was refused.
         counted, total = call.again or event.end not in i.NEVER_RAN, math.nan
         if event.end is End.OK and math.isfinite(event.total) and event.total >= -jump:
-            if event.took > self.s.counter_timeout * OWN_TIMEOUT:
+            if event.duration > self.s.counter_timeout * OWN_TIMEOUT:
                 self.call_failed()
             else:
-                self.best = min(event.took, self.best * 1.01)  # the way there and back, as it changes
-                self.quick = event.took < max(self.s.counter_timeout * QUICK, 2 * self.best)
+                self.best = min(event.duration, self.best * 1.01)  # the way there and back, as it changes
+                self.quick = event.duration < max(self.s.counter_timeout * QUICK, 2 * self.best)
                 self.ask = min(1.0, max(ASK_AGAIN, self.ask + ASK_UP)) if self.quick else self.ask * ASK_SLOW
             total = self.believe(c, call, max(0.0, event.total), jump)
         else:
@@ -324,7 +328,7 @@
         added = call.amount + call.ride
         if call.window == c.window:
             total += c.lost
-            if total < c.own + added - self.s.most_units:  # not even what was added from here
+            if total < c.own + added - self.s.max_units:  # not even what was added from here
                 self.forgot_at = self.now
             if total < c.own + added - jump / 4 or total < c.total + added - jump:
                 # The counter forgot: believe the last good total and what was added since. Holds against
@@ -426,7 +430,7 @@
 
     # --- server choice -----------------------------------------------------------------------------------
     def on_list(self, event: i.ServerList) -> None:
-        if event.kind in (ListKind.WHOLE, ListKind.CACHED):
+        if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
             named = {e.server for e in event.entries}
             self.servers = {k: v for k, v in self.servers.items() if k in named}
         for e in event.entries:
@@ -455,19 +459,21 @@
     def on_zone(self, event: i.ZoneShare) -> None:
         """What may be repeated is called off in a zone that is left. A trial takes the next such request."""
         self.shares[event.zone] = event.share
-        for work in self.work.values() if event.share <= 0 and self.s.cancel else ():
-            for n, key in work.live.items() if work.cls.effect is Effect.SAFE and not work.final else ():
+        for work in self.work.values() if event.share <= 0 and self.s.allow_cancel else ():
+            for n, key in (
+                work.live.items() if work.cls.idempotency is Idempotency.SAFE and not work.final else ()
+            ):
                 if key in self.servers and self.servers[key].entry.zone == event.zone:
                     self.actions.append(i.Cancel(work.id, n))
-        if (old := self.servers.get(event.trial)) and event.trial not in self.untried:
-            self.servers[event.trial] = Server(old.entry, self.now, old.started)
-            self.untried.append(event.trial)
+        if (old := self.servers.get(event.trial_server)) and event.trial_server not in self.untried:
+            self.servers[event.trial_server] = Server(old.entry, self.now, old.started)
+            self.untried.append(event.trial_server)
         self.list_ready()
 
-    def on_ban(self, event: i.Banned) -> None:
+    def on_ban(self, event: i.BanChanged) -> None:
         """What was believed of it before is dropped. If no start since is listed, it is taken as now: guards
         a server that was restarted meanwhile against its warm share, as lists tell of it late."""
-        if event.out:
+        if event.banned:
             self.banned[event.server] = event.at
         elif (since := self.banned.pop(event.server, None)) is not None:
             if old := self.servers.get(event.server):
@@ -500,14 +506,18 @@
             oldest = next(iter(server.out.values()))
             slow = max(slow, (self.now - oldest) / (2 * self.usual[work.request.cls % len(self.usual)]))
         cross = self.s.cross_zone_price if server.entry.zone != self.s.zone else 0.0
-        if self.now - server.kept_at >= self.s.keeps_open:
+        if self.now - server.kept_at >= self.s.idle_timeout:
             slow *= FRESH
         size = server.entry.weight if server.entry.weight > 0 else 1.0
         return slow * (1 + cross) * (1 + len(server.out) + server.queue) / size
 
     def choose(self, work: Work, avoid: set[int]) -> int | None:
         cls, ready, usual = work.request.cls, self.ready, self.usual[work.request.cls % len(self.usual)]
-        if work.risky >= 0 and work.cls.effect is Effect.KEYED and work.cls.group is not Group.ALL:
+        if (
+            work.risky >= 0
+            and work.cls.idempotency is Idempotency.KEYED
+            and work.cls.dedup_scope is not DedupScope.ALL
+        ):
             ready = [k for k in ready if self.same_group(work, k)]
         # Guards against servers that do less the more they hold; it could refuse where all work is long.
         most = work.cls.aim * QUEUE * (BEYOND_ROOM if work.beyond else 1.0)
@@ -546,7 +556,9 @@
         drawn = self.rng.sample(ready, min(DRAWN, len(ready)))
         drawn.sort(key=lambda k: self.s.cross_zone_price > 0 and self.servers[k].entry.zone != self.s.zone)
         for back in self.untried:  # guards against a gateway of few requests that would not meet it for long
-            if back in ready and (work.cls.effect is Effect.SAFE or self.share(self.servers[back]) > 0):
+            if back in ready and (
+                work.cls.idempotency is Idempotency.SAFE or self.share(self.servers[back]) > 0
+            ):
                 return [back, *(k for k in drawn if k != back)], True
         for _ in range(DRAWN if drawn else 0):
             first = self.rng.choice(ready)
@@ -569,7 +581,7 @@
         a, b = self.servers.get(work.risky), self.servers.get(key)
         if a is None or b is None:
             return False
-        zone = work.cls.group is Group.ZONE
+        zone = work.cls.dedup_scope is DedupScope.ZONE
         return a.entry.zone == b.entry.zone if zone else a.entry.cell == b.entry.cell
 
     # --- attempts ----------------------------------------------------------------------------------------
@@ -579,9 +591,12 @@
             return False
         if self.now >= work.deadline - self.s.tick:
             return False
-        if work.risky < 0 or work.cls.effect is Effect.SAFE:
+        if work.risky < 0 or work.cls.idempotency is Idempotency.SAFE:
             return True
-        return work.cls.effect is Effect.KEYED and self.now + self.s.tick < work.risky_at + work.cls.window
+        return (
+            work.cls.idempotency is Idempotency.KEYED
+            and self.now + self.s.tick < work.risky_at + work.cls.dedup_window
+        )
 
     def dispatch(self, work: Work) -> None:
         avoid, c = {a.server for a in work.attempts}, work.customer
@@ -606,8 +621,8 @@
         c.open += 1
         if work.risky < 0:
             work.risky, work.risky_at = key, self.now
-        server.out[(work.id, n)] = math.inf if work.request.coming else self.now
-        if not work.request.coming:
+        server.out[(work.id, n)] = math.inf if work.request.body_pending else self.now
+        if not work.request.body_pending:
             self.launch(work, attempt)
         self.actions.append(i.Send(work.id, key, work.deadline))
 
@@ -623,7 +638,7 @@
         """Whether the next attempt there uses a kept connection; None where it shares one in use.
         Guards against connections that died unseen while kept: all servers' are judged together, as one
         gateway meets each rarely, against new ones, as a jam loses both. Harm: where opening one is dear."""
-        if server.out or self.now - server.kept_at >= self.s.keeps_open:
+        if server.out or self.now - server.kept_at >= self.s.idle_timeout:
             return None if server.out else False
         new, kept = (lost / (tried + 1) for lost, tried in zip(self.lost, self.tried, strict=True))
         if kept <= STALE + 2 * new:
@@ -702,13 +717,13 @@
             attempt, waited = work.attempts[event.attempt], self.now - work.attempts[event.attempt].at
             slow = waited < PATIENT * self.usual[work.request.cls % len(self.usual)]
             lost = event.end is End.RESET or event.end in (End.TIMEOUT, End.CANCELLED) and not slow
-            answered = event.end in (End.OK, End.ERROR, End.FULL)
+            answered = event.end in (End.OK, End.ERROR, End.REJECTED)
             if server:
                 server.kept_at = self.now if answered else -math.inf
             self.fade()
             self.ends(attempt, lost if lost or answered else None)
-            if not lost and event.end in (End.OK, End.FULL, End.TIMEOUT, End.CANCELLED):
-                share = max(waited / work.aim, float(event.end in (End.FULL, End.TIMEOUT)))
+            if not lost and event.end in (End.OK, End.REJECTED, End.TIMEOUT, End.CANCELLED):
+                share = max(waited / work.aim, float(event.end in (End.REJECTED, End.TIMEOUT)))
                 self.answered, self.took = self.answered + 1, self.took + share
                 self.late += share >= 1
                 self.pace += 2 * RECENT * (min(1.0, share) - self.pace)
@@ -717,7 +732,7 @@
         if not work.ran and not work.live:
             work.risky, work.risky_at = -1, math.inf
         c = work.customer
-        if event.end is End.OK and event.true_units and not work.beyond and self.s.settles:
+        if event.end is End.OK and event.true_units and not work.beyond and self.s.charge_true_units:
             diff = event.true_units - work.cost
             if c.length:
                 c.turn(self.now)
@@ -728,7 +743,12 @@
             self.close(work)
         elif not work.final and not work.live:
             paid = event.end not in (End.CONNECT_FAILED, End.ERROR)  # signs of load feed no more of it
-            if event.end is End.MOOT or paid and self.retries < 1 or self.now >= work.deadline - self.s.tick:
+            if (
+                event.end is End.NOT_SENT
+                or paid
+                and self.retries < 1
+                or self.now >= work.deadline - self.s.tick
+            ):
                 self.give_up(work)
             else:
                 self.retries -= paid
@@ -746,11 +766,11 @@
                 server.queue = min(max(0.0, queue), 20.0)
             if work:
                 n = cls % len(self.usual)
-                server.ratio += 2 * RECENT * (min(20.0, event.took / self.usual[n]) - server.ratio)
-                self.usual[n] += RECENT / 10 * (min(event.took, 4 * self.usual[n]) - self.usual[n])
+                server.ratio += 2 * RECENT * (min(20.0, event.duration / self.usual[n]) - server.ratio)
+                self.usual[n] += RECENT / 10 * (min(event.duration, 4 * self.usual[n]) - self.usual[n])
             if cls in server.ill:
                 server.ill[cls] = [min(ILL, server.ill[cls][0] * (1 - ILL_STEP)), 0.0, EJECT_FIRST]
-        elif event.end in (End.TIMEOUT, End.FULL):
+        elif event.end in (End.TIMEOUT, End.REJECTED):
             server.ratio = min(20.0, server.ratio * 1.2)
         if event.end not in (End.ERROR, End.RESET, End.TIMEOUT, End.CONNECT_FAILED):
             return
@@ -770,7 +790,7 @@
     # --- final answers and guards --------------------------------------------------------------------------
     def close(self, work: Work) -> None:
         work.final, work.asking = True, False
-        if self.s.cancel:  # no answer is wanted any more: the client left
+        if self.s.allow_cancel:  # no answer is wanted any more: the client left
             self.actions.extend(i.Cancel(work.id, n) for n in work.live)
         self.held.pop(work.id, None)
         if not work.sent:
@@ -780,9 +800,9 @@
 
     def harmless(self, work: Work) -> bool:
         """A refusal promises that a repeat does no harm."""
-        if work.risky < 0 or work.cls.effect is Effect.SAFE:
+        if work.risky < 0 or work.cls.idempotency is Idempotency.SAFE:
             return True
-        return work.cls.effect is Effect.KEYED and work.cls.group is Group.ALL
+        return work.cls.idempotency is Idempotency.KEYED and work.cls.dedup_scope is DedupScope.ALL
 
     def refuse(self, work: Work) -> None:
         self.actions.append(i.Refuse(work.id, self.advice(work)))
@@ -835,7 +855,7 @@
     for n, c in enumerate(s.classes):
         need(c.aim > 0, f"classes[{n}].aim: must be above 0")
         need(c.deadline > 0, f"classes[{n}].deadline: must be above 0")
-        need(isinstance(c.effect, Effect), f"classes[{n}].effect: unknown effect")
+        need(isinstance(c.idempotency, Idempotency), f"classes[{n}].effect: unknown effect")
     for n, p in enumerate(s.plans):
         for name in ("rate", "burst", "open", "ceiling_rate", "ceiling_burst", "ceiling_slack"):
             need(0 <= getattr(p, name) < math.inf, f"plans[{n}].{name}: must be 0 or more")
--- a/starlinggap/interface.py
+++ b/starlinggap/interface.py
@@ -14,7 +14,7 @@
     """A setting cannot be used; the message begins with the field's name."""
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeat of a request does."""
 
     SAFE = "safe"
@@ -22,7 +22,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which servers drop a repeat of a keyed request among themselves."""
 
     ALL = "all"
@@ -35,15 +35,15 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    REJECTED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
-NEVER_RAN = frozenset({End.FULL, End.CONNECT_FAILED, End.MOOT})
+NEVER_RAN = frozenset({End.REJECTED, End.CONNECT_FAILED, End.NOT_SENT})
 
 
 class Health(Enum):
@@ -58,7 +58,7 @@
     """What a message of the server list holds."""
 
     CHANGES = "changes"
-    WHOLE = "whole"
+    COMPLETE = "whole"
     CACHED = "cached"
     FAILED = "failed"
 
@@ -71,9 +71,9 @@
     deadline: float
     worth: float = 1.0
     late_worth: float = 0.0
-    effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
-    window: float = 0.0
+    idempotency: Idempotency = Idempotency.SAFE
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window: float = 0.0
     stream: bool = False
 
 
@@ -99,26 +99,26 @@
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     gateways: int = 1
-    me: int = 0
+    gateway_index: int = 0
     zone: int = 0
     tick: float = 0.004
-    most_units: float = 1.0
-    settles: bool = False
-    counter: bool = False
+    max_units: float = 1.0
+    charge_true_units: bool = False
+    use_counter: bool = False
     counter_timeout: float = 0.05
     meter_period: float = 0.0
     max_attempts: int = 3
-    parallel: bool = False
-    cancel: bool = False
-    probes: bool = False
-    keeps_open: float = 15.0
+    allow_parallel: bool = False
+    allow_cancel: bool = False
+    allow_probes: bool = False
+    idle_timeout: float = 15.0
     max_retry_after: float = 1.0
     list_on_request: bool = False
-    ask_within: float = 10.0
-    cold: float = 15.0
-    cold_from: float = 0.2
-    fall: float = 3.0
-    fall_multiple: float = 3.0
+    max_watch_interval: float = 10.0
+    slow_start_duration: float = 15.0
+    slow_start_share: float = 0.2
+    collapse_time: float = 3.0
+    collapse_ratio: float = 3.0
     cross_zone_price: float = 0.0
 
 
@@ -141,11 +141,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Banned:
+class BanChanged:
     """Staff take a server out of use, or give it back; nothing is sent to it in between."""
 
     server: int
-    out: bool
+    banned: bool
     at: float = 0.0  # when they said so
 
 
@@ -158,7 +158,7 @@
 
     zone: int
     share: float
-    trial: int = 0
+    trial_server: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -168,17 +168,19 @@
     request: int
     cls: int
     plan: int
-    customer: int
+    account: int
     budget: float
     units: float = 1.0
-    spread: int = 1
-    first: int = 0
+    account_gateways: int = 1
+    first_gateway: int = 0
     is_retry: bool = False
     # Where an ingress has several cores: how many decide for the customer side by side, and for how long (s)
     # nobody but these can have spent its part of a ceiling.
-    parts: int = 1
-    held: float = math.inf
-    coming: bool = False  # its body still comes: it is timed from `Written`, when its attempt is whole
+    account_workers: int = 1
+    exclusive_for: float = math.inf
+    body_pending: bool = (
+        False  # its body still comes: it is timed from `RequestWritten`, when its attempt is whole
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -189,9 +191,9 @@
     attempt: int
     server: int
     end: End
-    took: float
+    duration: float
     final: bool = False
-    used: float | None = None
+    quota_used: float | None = None
     true_units: float | None = None
     load: dict[str, float] = field(default_factory=dict)
 
@@ -201,11 +203,11 @@
     request: int
     attempt: int
     server: int
-    took: float
+    duration: float
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class RequestWritten:
     """An attempt of a request whose body was still coming has been written whole."""
 
     request: int
@@ -218,10 +220,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeOutcome:
     server: int
     end: End
-    took: float
+    duration: float
     load: dict[str, float] = field(default_factory=dict)
 
 
@@ -231,34 +233,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CountOutcome:
     """The counter's answer to one Count: the total of the name after it, when `end` is OK."""
 
     name: int
-    took: float
+    duration: float
     end: End
     total: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSaid:
+class PeerMessage:
     sender: int
     data: bytes
 
 
 Event = (
     ServerList
-    | Banned
+    | BanChanged
     | ZoneShare
     | Request
     | Outcome
     | StreamStarted
-    | Written
+    | RequestWritten
     | ClientGone
-    | Probed
+    | ProbeOutcome
     | TimerFired
-    | Counted
-    | PeerSaid
+    | CountOutcome
+    | PeerMessage
 )
 
 
@@ -268,7 +270,7 @@
 
     request: int
     server: int
-    stop_at: float
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -38,8 +38,8 @@
     """What this gateway knows of one account. `debt` is owed to the counter; below 0 it is owed back."""
 
     def __init__(self, request: i.Request, plan: i.Plan, now: float, alive: float) -> None:
-        self.id, self.plan, self.parts = request.customer, plan, request.parts
-        self.spread = max(1, request.spread) * request.parts
+        self.id, self.plan, self.parts = request.account, plan, request.account_workers
+        self.spread = max(1, request.account_gateways) * request.account_workers
         # A window lasts as long as the burst takes to fill, or as long as two names can be kept.
         self.length = min(plan.burst / plan.rate, LONGEST_NAME / TTL_WINDOWS) if plan.rate > 0 else 0.0
         self.limit, self.charged = min(plan.burst, plan.rate * self.length), plan.over_worth > plan.over_cost
--- a/starlinggap/slow_start.py
+++ b/starlinggap/slow_start.py
@@ -17,7 +17,7 @@
     """The starts that one gateway has heard of."""
 
     def __init__(self, settings: Settings) -> None:
-        self.lasts, self.least = settings.cold, settings.cold_from
+        self.lasts, self.least = settings.slow_start_duration, settings.slow_start_share
         self.starts: OrderedDict[int, float] = OrderedDict()  # as last listed, also of servers that have gone
         self.listed = False  # a list has come in this life; what it began with may be old
 
--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -115,7 +115,7 @@
     who, plan, spread, parts, window, values, flags = one
     if not 0 <= plan < len(gateway.s.plans) or not (spread >= 1 and parts >= 1):
         raise Unusable("a customer out of range")
-    request = i.Request(0, 0, plan, int(who), 1.0, spread=int(spread), parts=int(parts))
+    request = i.Request(0, 0, plan, int(who), 1.0, account_gateways=int(spread), account_workers=int(parts))
     c = Account(request, gateway.s.plans[plan], now, 0.0)
     for name, value in zip(CUSTOMER, numbers(values, len(CUSTOMER)), strict=True):
         setattr(c, name, value)
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -30,7 +30,7 @@
 from tests.reducer_rig import SETTINGS, START, house
 
 MS = timedelta(milliseconds=1)
-ALONE = replace(SETTINGS, counter=False)  # no counter: nothing stands between a request and its attempt
+ALONE = replace(SETTINGS, use_counter=False)  # no counter: nothing stands between a request and its attempt
 
 
 class GatedExchange(Exchange):
@@ -165,7 +165,7 @@
     """Where the settings have a counter, it is a party, too."""
     parties = [await Party().open() for _ in range(nodes)]
     node_list = await Party().open()
-    counter = await Party().open() if settings.counter else None
+    counter = await Party().open() if settings.use_counter else None
     if counter is not None:
         changes["counter_address"] = counter.address
     reader = NodeListReader(())
--- a/tests/gateway_rig.py
+++ b/tests/gateway_rig.py
@@ -14,9 +14,9 @@
         classes=(i.RequestClass(aim=0.8, deadline=2.0),),
         plans=(i.Plan(rate=2.0, burst=8.0),),
         gateways=2,
-        counter=True,
+        use_counter=True,
         counter_timeout=0.05,
-        most_units=4.0,
+        max_units=4.0,
     )
     return replace(base, **changes)  # type: ignore[arg-type]
 
@@ -41,7 +41,7 @@
         self.due: list[tuple[float, i.Outcome]] = []
         self.state: dict[int, str] = {}
         self.attempts: dict[int, int] = {}
-        self.give(i.ServerList(i.ListKind.WHOLE, tuple(entry(n) for n in range(1, servers + 1))))
+        self.give(i.ServerList(i.ListKind.COMPLETE, tuple(entry(n) for n in range(1, servers + 1))))
 
     def give(self, *events: i.Event) -> None:
         todo = list(events)
@@ -70,15 +70,15 @@
                 todo = [self.answer(c) for c in self.counts]
                 self.counts = []
 
-    def answer(self, c: i.Count) -> i.Counted:
+    def answer(self, c: i.Count) -> i.CountOutcome:
         self.totals[c.name] = self.totals.get(c.name, 0.0) + c.amount
-        return i.Counted(c.name, 0.001, i.End.OK, self.totals[c.name])
+        return i.CountOutcome(c.name, 0.001, i.End.OK, self.totals[c.name])
 
     def answer_all(self, total: float | None) -> None:
         """Late answers to all calls out: true ones, or the same wrong total."""
         counts, self.counts = self.counts, []
         for c in counts:
-            self.give(self.answer(c) if total is None else i.Counted(c.name, 0.04, i.End.OK, total))
+            self.give(self.answer(c) if total is None else i.CountOutcome(c.name, 0.04, i.End.OK, total))
 
     def at(self, now: float) -> None:
         """Moves on to `now`, firing what comes due and ending attempts whose time has come."""
--- a/tests/reducer_rig.py
+++ b/tests/reducer_rig.py
@@ -16,19 +16,19 @@
 SETTINGS = i.Settings(
     classes=(
         i.RequestClass(aim=0.4, deadline=1.2, worth=2.0),
-        i.RequestClass(aim=0.8, deadline=3.0, worth=5.0, effect=i.Effect.UNSAFE),
+        i.RequestClass(aim=0.8, deadline=3.0, worth=5.0, idempotency=i.Idempotency.UNSAFE),
     ),
     plans=(i.Plan(rate=25.0, burst=30.0),),
     gateways=2,
     tick=0.002,
-    most_units=3.0,
-    counter=True,
+    max_units=3.0,
+    use_counter=True,
     counter_timeout=0.08,
     max_attempts=4,
-    cancel=True,
-    probes=True,
-    keeps_open=9.0,
-    cold=16.0,
+    allow_cancel=True,
+    allow_probes=True,
+    idle_timeout=9.0,
+    slow_start_duration=16.0,
 )
 
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -63,10 +63,10 @@
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
     settings, loads = link.read_settings(ENV)
     assert settings.classes[1] == i.RequestClass(
-        1.5, 5.0, effect=i.Effect.KEYED, group=i.Group.CELL, window=3.0
+        1.5, 5.0, idempotency=i.Idempotency.KEYED, dedup_scope=i.DedupScope.CELL, dedup_window=3.0
     )
     assert settings.plans == (i.Plan(rate=2.0, burst=8.0),)
-    assert (settings.gateways, settings.counter, settings.list_on_request) == (2, True, True)
+    assert (settings.gateways, settings.use_counter, settings.list_on_request) == (2, True, True)
     assert loads == ["queue", "latency_ms", "brand_new"]
 
 
--- a/tests/test_client_states.py
+++ b/tests/test_client_states.py
@@ -130,7 +130,7 @@
         self.step(ev.RequestOver(client))
 
     @precondition(lambda self: bool(self.rig.reducer.books.attempts))
-    @rule(pick=st.integers(0, 9), end=st.sampled_from([End.OK, End.ERROR, End.FULL]))
+    @rule(pick=st.integers(0, 9), end=st.sampled_from([End.OK, End.ERROR, End.REJECTED]))
     def its_node_answers(self, pick: int, end: End) -> None:
         attempts = sorted(self.rig.reducer.books.attempts.items())
         self.step(ev.NodeAnswered(attempts[pick % len(attempts)][1].line, end, True, b""))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -82,26 +82,26 @@
 
     def test_a_banned_server_gets_no_attempt_of_any_kind_whatever_the_list_says(self) -> None:
         rig = GatewayRig(decisions(), servers=2)
-        rig.give(i.Banned(1, True))
+        rig.give(i.BanChanged(1, True))
         rig.give(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(1, i.Health.GONE),)))
-        rig.give(i.ServerList(i.ListKind.WHOLE, (entry(1, started=0.5), entry(2))))
+        rig.give(i.ServerList(i.ListKind.COMPLETE, (entry(1, started=0.5), entry(2))))
         for customer in range(30):
             rig.ask(customer=customer)
-            rig.finish(i.End.FULL if customer % 3 == 0 else i.End.OK)
+            rig.finish(i.End.REJECTED if customer % 3 == 0 else i.End.OK)
         assert {s.server for s in rig.sends} == {2}
         assert rig.gateway.avoided(rig.now) == 1
 
     def test_with_all_banned_requests_are_refused_at_once_with_advice(self) -> None:
         rig = GatewayRig(decisions(), servers=1)
-        rig.give(i.Banned(1, True))
+        rig.give(i.BanChanged(1, True))
         assert rig.ask() == "refused" and rig.refusals[-1].retry_after > 0
 
     def test_given_back_it_is_used_next_as_cold_and_without_old_beliefs(self) -> None:
-        rig = GatewayRig(decisions(cold=16.0, cold_from=0.15), servers=12)
+        rig = GatewayRig(decisions(slow_start_duration=16.0, slow_start_share=0.15), servers=12)
         rig.at(5.0)
         rig.gateway.servers[3].ill = {0: [1.0, 1e9, 8.0]}
-        rig.give(i.Banned(3, True, rig.now))
-        rig.give(i.Banned(3, False))
+        rig.give(i.BanChanged(3, True, rig.now))
+        rig.give(i.BanChanged(3, False))
         rig.ask()
         assert rig.sends[-1].server == 3 and rig.gateway.avoided(rig.now) == 0
         rig.finish()
@@ -134,7 +134,7 @@
         assert self.call(rig, 1, False).yes  # in use already
         assert self.call(rig, 1, True).yes
         question = rig.list_question()
-        rig.step(ev.NodeListAnswered(question.line, True, 8, i.ListKind.WHOLE, (node(2),)))
+        rig.step(ev.NodeListAnswered(question.line, True, 8, i.ListKind.COMPLETE, (node(2),)))
         assert self.call(rig, 1, False).yes
 
     def test_a_node_taken_out_loses_its_idle_connections_and_finishes_what_is_there(self) -> None:
--- a/tests/test_cores_pure.py
+++ b/tests/test_cores_pure.py
@@ -67,7 +67,7 @@
         plan = i.Plan(
             rate=1000.0, burst=100000.0, ceiling_rate=RATE, ceiling_burst=BURST, ceiling_slack=SLACK
         )
-        self.settings = i.Settings((i.RequestClass(aim=0.4, deadline=1.2),), (plan,), most_units=3.0)
+        self.settings = i.Settings((i.RequestClass(aim=0.4, deadline=1.2),), (plan,), max_units=3.0)
         self.version, self.live = 1, {0, 1, 2}
         self.rosters = {1: Roster(1, (0, 1, 2), {}, True)}
         self.told_at = {1: START}
@@ -79,7 +79,7 @@
     def life(self, number: int) -> tuple[Shares, Gateway]:
         gateway = Gateway(self.settings, number)
         gateway.handle(
-            self.now.timestamp(), [i.ServerList(i.ListKind.WHOLE, (i.ServerEntry(1, i.Health.READY),))]
+            self.now.timestamp(), [i.ServerList(i.ListKind.COMPLETE, (i.ServerEntry(1, i.Health.READY),))]
         )
         shares = Shares(number, SETTLE)
         shares.take(self.rosters[self.version], self.now)
@@ -155,8 +155,8 @@
             held = shares.held(ACCOUNT, self.now)
             self.number += 1
             request = i.Request(
-                self.number, 0, 0, ACCOUNT, 1.0, 1.0, SPREAD, parts=shares.parts(ACCOUNT, self.now),
-                held=math.inf if held is None else held.total_seconds(),
+                self.number, 0, 0, ACCOUNT, 1.0, 1.0, SPREAD, account_workers=shares.parts(ACCOUNT, self.now),
+                exclusive_for=math.inf if held is None else held.total_seconds(),
             )  # fmt: skip
             actions = gateway.handle(self.now.timestamp(), [request])
             if any(isinstance(a, i.Send) for a in actions):
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -19,7 +19,8 @@
 from tests.reducer_rig import SETTINGS
 
 KEYED = replace(
-    ALONE, classes=(ALONE.classes[0], replace(ALONE.classes[1], effect=i.Effect.KEYED, window=0.3))
+    ALONE,
+    classes=(ALONE.classes[0], replace(ALONE.classes[1], idempotency=i.Idempotency.KEYED, dedup_window=0.3)),
 )
 
 
--- a/tests/test_crossings_upstream.py
+++ b/tests/test_crossings_upstream.py
@@ -95,7 +95,7 @@
 
 KEYED = replace(
     ALONE,
-    classes=(ALONE.classes[0], replace(ALONE.classes[1], effect=i.Effect.KEYED, window=0.3)),
+    classes=(ALONE.classes[0], replace(ALONE.classes[1], idempotency=i.Idempotency.KEYED, dedup_window=0.3)),
 )
 
 
@@ -131,7 +131,7 @@
     may_cancel: bool,
 ) -> None:
     async def what() -> None:
-        async with scene(settings=replace(ALONE, cancel=may_cancel)) as here:
+        async with scene(settings=replace(ALONE, allow_cancel=may_cancel)) as here:
             here.exchange.gate.clear()
             _, writer = await here.client()
             writer.write(place("one"))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -15,14 +15,14 @@
 
 SOURCE = Path(starlinggap.__file__).with_name("brain.py").read_text()
 
-EFFECT = "return work.cls.effect is Effect.KEYED and "
+KEYED = "work.cls.idempotency is Idempotency.KEYED"
 GUARDS = {
     "drain": ("if v.entry.health is Health.READY}", "}", "drains"),
     "ban": ("up - self.banned.keys()", "up", "staff"),
-    "unsafe repeat": (EFFECT + "self.now + self.s.tick", "return self.now", "unsafe"),
-    "window": ("< work.risky_at + work.cls.window", "< math.inf", "after the window"),
+    "unsafe repeat": (KEYED + "\n            and self.now + self.s.tick", "self.now", "unsafe"),
+    "window": ("< work.risky_at + work.cls.dedup_window", "< math.inf", "after the window"),
     "group": ("ready = [k for k in ready if self.same_group(work, k)]", "pass", "sent again outside the"),
-    "refusal": (EFFECT + "work.cls.group is Group.ALL", "return True", "refused"),
+    "refusal": (KEYED + " and work.cls.dedup_scope is DedupScope.ALL", "True", "refused"),
     "ceiling": ("(not work.ceiled or c.room >= need)", "True", "ceiling"),
     "patience": ("request.budget / 2 - s.tick", "1.0", "overdue"),
 }
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -163,7 +163,7 @@
     for processes, parts in ((1, 1), (2, 2), (1, 1)):
         rig.step(ev.ProcessesSeen(processes))
         rig.order(CHECK)
-        assert [e for e in heard if isinstance(e, i.Request)][-1].parts == parts
+        assert [e for e in heard if isinstance(e, i.Request)][-1].account_workers == parts
 
 
 def test_the_link_hands_over_and_tells_who_lives(tmp_path: Path) -> None:
--- a/tests/test_line_states.py
+++ b/tests/test_line_states.py
@@ -105,7 +105,7 @@
         assert self.model.get(line) is not Stage.OPENING
 
     @precondition(lambda self: self.has(Stage.BUSY))
-    @rule(pick=st.integers(0, 9), end=st.sampled_from([End.OK, End.ERROR, End.FULL]), keep=st.booleans())
+    @rule(pick=st.integers(0, 9), end=st.sampled_from([End.OK, End.ERROR, End.REJECTED]), keep=st.booleans())
     def answers(self, pick: int, end: End, keep: bool) -> None:
         line = self.some(Stage.BUSY, pick)
         self.model[line], self.rested[line] = Stage.IDLE, self.rig.now
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -36,7 +36,7 @@
 
 
 def test_true_units_are_settled_on_the_count() -> None:
-    rig = GatewayRig(settings(settles=True))
+    rig = GatewayRig(settings(charge_true_units=True))
     assert rig.ask(units=2.0) == "sent"
     rig.finish(true_units=4.0)
     rig.at(rig.now + 2.0)
@@ -110,7 +110,7 @@
     rig.ask(units=2.0)
     call = rig.counts.pop()
     rig.totals[call.name] = before + call.amount
-    rig.give(i.Counted(call.name, 0.001, end))
+    rig.give(i.CountOutcome(call.name, 0.001, end))
     assert [c.amount for c in rig.counts] == [0.0]
     rig.answering = True
     rig.give(rig.answer(rig.counts.pop()))
@@ -123,7 +123,7 @@
     rig = GatewayRig(settings(), answering=False)
     rig.ask(units=2.0)
     for _ in range(2):
-        rig.give(i.Counted(rig.counts.pop().name, 0.001, i.End.ERROR))
+        rig.give(i.CountOutcome(rig.counts.pop().name, 0.001, i.End.ERROR))
     assert rig.last() == "sent" and not rig.gateway.calls
 
 
@@ -131,7 +131,7 @@
 
 
 def test_a_customer_met_late_has_the_part_of_the_ceiling_that_has_come_back_since_the_start() -> None:
-    rig = GatewayRig(settings(plans=(CEILED,), counter=False))
+    rig = GatewayRig(settings(plans=(CEILED,), use_counter=False))
     rig.gateway.ask = 0.0  # nobody is let in by totals meanwhile
     assert [rig.ask(units=1.0, customer=1) for _ in range(2)] == ["sent", "refused"]
     rig.finish()
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize(("told", "charged"), [(3.0, 3.0), (0.5, 0.5), (900.0, 3.0), (None, 2.0)])
 def test_units_that_a_request_was_found_to_take_are_settled_on_its_count(told: float, charged: float) -> None:
-    rig = ReducerRig(settings=replace(SETTINGS, settles=True))
+    rig = ReducerRig(settings=replace(SETTINGS, charge_true_units=True))
     rig.order(PLACE, units=2.0)
     rig.count(total=2.0)
     rig.read_last_window()
@@ -117,7 +117,7 @@
 
     rig.reducer.gateway.handle = greedy  # type: ignore[method-assign]
     rig.pass_time(timedelta(milliseconds=400))
-    assert [e.end for e in heard if isinstance(e, i.Outcome)][:1] == [i.End.MOOT]
+    assert [e.end for e in heard if isinstance(e, i.Outcome)][:1] == [i.End.NOT_SENT]
     assert [e for e in rig.out if isinstance(e, fx.SendAttempt)] == [first]
 
 
@@ -136,9 +136,9 @@
     rig.order(PLACE)
     line = rig.counter_call().line
     rig.pass_time(timedelta(milliseconds=85))
-    assert [e.end for e in heard if isinstance(e, i.Counted)] == [i.End.TIMEOUT]
+    assert [e.end for e in heard if isinstance(e, i.CountOutcome)] == [i.End.TIMEOUT]
     rig.step(ev.CounterAnswered(line, i.End.OK, 1.0, True))
-    assert len([e for e in heard if isinstance(e, i.Counted)]) == 1
+    assert len([e for e in heard if isinstance(e, i.CountOutcome)]) == 1
     assert fx.CloseLine(line) not in rig.out
 
 
@@ -150,7 +150,7 @@
     line = rig.counter_call().line
     rig.step(ev.CounterAnswered(line, i.End.OK, 1.0, True))
     rig.step(ev.LineEnded(line, ev.Reached.WRITTEN))
-    ends = [e.end for e in heard if isinstance(e, i.Counted)]
+    ends = [e.end for e in heard if isinstance(e, i.CountOutcome)]
     assert ends[0] is i.End.OK and set(ends[1:]) == {i.End.RESET}
 
 
@@ -252,7 +252,7 @@
     while rig.list_question().line not in rig.reducer.books.lines:  # it may be between two watches
         rig.pass_time(timedelta(milliseconds=100))
         rig.bring_up()
-    rig.step(ev.NodeListAnswered(rig.list_question().line, True, 12, i.ListKind.WHOLE, (node(99),)))
+    rig.step(ev.NodeListAnswered(rig.list_question().line, True, 12, i.ListKind.COMPLETE, (node(99),)))
     assert fx.CloseLine(line) in rig.out
 
 
@@ -271,7 +271,7 @@
     first, second = (e.line for e in rig.out if isinstance(e, fx.SendProbe))
     rig.step(ev.NodeAnswered(first, i.End.OK, True, load={"util": 0.5}))
     rig.pass_time(timedelta(milliseconds=300))
-    told = [(e.server, e.end, e.load) for e in heard if isinstance(e, i.Probed)]
+    told = [(e.server, e.end, e.load) for e in heard if isinstance(e, i.ProbeOutcome)]
     assert told == [(2, i.End.OK, {"util": 0.5}), (3, i.End.TIMEOUT, {})]
     assert fx.CloseLine(second) in rig.out and fx.CloseLine(first) not in rig.out
 
@@ -355,7 +355,7 @@
     again = rig.counter_call()
     assert (again.name, again.amount) == (call.name, call.amount) and again.line != call.line
     rig.count(total=2.0)
-    assert [e.end for e in heard if isinstance(e, i.Counted)] == [i.End.OK]
+    assert [e.end for e in heard if isinstance(e, i.CountOutcome)] == [i.End.OK]
 
 
 def test_nobody_waits_longer_than_the_deadline_of_the_kind() -> None:
@@ -391,7 +391,7 @@
     assert fx.CloseLine(line) in rig.out
 
 
-@pytest.mark.parametrize("kind", [i.ListKind.CHANGES, i.ListKind.WHOLE])
+@pytest.mark.parametrize("kind", [i.ListKind.CHANGES, i.ListKind.COMPLETE])
 def test_a_new_stock_node_at_an_old_ones_address_takes_its_place(kind: i.ListKind) -> None:
     rig = ReducerRig(nodes=1)
     rig.admit(CHECK)
@@ -399,7 +399,7 @@
     rig.step(ev.NodeAnswered(line, i.End.OK, True, b""))
     heard = rig.listen()
     old, new = node(1), ev.StockNode(node(1).address, i.ServerEntry(9, i.Health.READY, started=1.0))
-    told = (old, new) if kind is i.ListKind.WHOLE else (new,)
+    told = (old, new) if kind is i.ListKind.COMPLETE else (new,)
     rig.step(ev.NodeListAnswered(rig.list_question().line, True, 8, kind, told))
     assert fx.CloseLine(line) in rig.out
     assert set(rig.reducer.books.nodes) == {9}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,15 +18,29 @@
 
 CLASSES = (
     i.RequestClass(aim=0.4, deadline=1.0),
-    i.RequestClass(aim=0.4, deadline=1.0, effect=i.Effect.KEYED, group=i.Group.CELL, window=0.3),
-    i.RequestClass(aim=0.4, deadline=1.0, effect=i.Effect.KEYED, group=i.Group.ALL, window=0.3),
-    i.RequestClass(aim=0.4, deadline=1.0, effect=i.Effect.KEYED, group=i.Group.ZONE, window=0.3),
-    i.RequestClass(aim=0.4, deadline=1.0, effect=i.Effect.UNSAFE, window=0.3),
+    i.RequestClass(
+        aim=0.4,
+        deadline=1.0,
+        idempotency=i.Idempotency.KEYED,
+        dedup_scope=i.DedupScope.CELL,
+        dedup_window=0.3,
+    ),
+    i.RequestClass(
+        aim=0.4, deadline=1.0, idempotency=i.Idempotency.KEYED, dedup_scope=i.DedupScope.ALL, dedup_window=0.3
+    ),
+    i.RequestClass(
+        aim=0.4,
+        deadline=1.0,
+        idempotency=i.Idempotency.KEYED,
+        dedup_scope=i.DedupScope.ZONE,
+        dedup_window=0.3,
+    ),
+    i.RequestClass(aim=0.4, deadline=1.0, idempotency=i.Idempotency.UNSAFE, dedup_window=0.3),
 )
 CEILING = i.Plan(rate=4.0, burst=16.0, ceiling_rate=6.0, ceiling_burst=24.0, ceiling_slack=4.0,
                  over_worth=0.5, over_cost=0.0)  # fmt: skip
 SLACK = 0.016  # how late a final answer may be
-ENDS = [i.End.OK, i.End.ERROR, i.End.FULL, i.End.TIMEOUT, i.End.CONNECT_FAILED, i.End.RESET]
+ENDS = [i.End.OK, i.End.ERROR, i.End.REJECTED, i.End.TIMEOUT, i.End.CONNECT_FAILED, i.End.RESET]
 
 
 class World:
@@ -36,7 +50,7 @@
                  make: Callable[[i.Settings, int], Gateway] = Gateway) -> None:  # fmt: skip
         self.rng, self.s, self.counter, self.now = random.Random(seed), s, counter, 0.0
         # Three halls, the gateways spread over them; the servers of a hall drop a keyed repeat together.
-        self.gates = [make(replace(s, me=n, zone=n % 3), n) for n in range(gateways)]
+        self.gates = [make(replace(s, gateway_index=n, zone=n % 3), n) for n in range(gateways)]
         self.queue: list[tuple[float, int, int, i.Event]] = []
         self.serial = 0
         self.health = {n: i.Health.READY for n in range(1, 7)}
@@ -52,7 +66,7 @@
         self.ends, self.paces = ENDS, [0.03, 0.2, 0.9]  # of attempts
         for g in range(gateways):
             lines = tuple(entry(n, cell=n % 2, zone=n % 3) for n in self.health)
-            self.later(0.0, g, i.ServerList(i.ListKind.WHOLE, lines))
+            self.later(0.0, g, i.ServerList(i.ListKind.COMPLETE, lines))
 
     def later(self, after: float, gate: int, event: i.Event) -> None:
         self.serial += 1
@@ -74,7 +88,7 @@
                     change = entry(server, cell=server % 2, zone=server % 3, health=self.health[server])
                     self.later(0.0, g, i.ServerList(i.ListKind.CHANGES, (change,)))
             if self.whim.random() < 0.05:
-                ban = i.Banned(self.whim.choice(list(self.health)), self.whim.random() < 0.4, self.now)
+                ban = i.BanChanged(self.whim.choice(list(self.health)), self.whim.random() < 0.4, self.now)
                 for g in range(len(self.gates)):
                     self.later(0.0, g, ban)
             self.step(0.02)
@@ -93,8 +107,8 @@
                 self.open[event.request] = (event, self.now + event.budget)
             if isinstance(event, i.ServerList):
                 self.told[gate].update({e.server: e.health for e in event.entries})
-            if isinstance(event, i.Banned):
-                (self.out[gate].add if event.out else self.out[gate].discard)(event.server)
+            if isinstance(event, i.BanChanged):
+                (self.out[gate].add if event.banned else self.out[gate].discard)(event.server)
             if isinstance(event, i.Outcome):
                 event = self.outcome(event)
             for action in self.gates[gate].handle(self.now, [event]):
@@ -125,8 +139,10 @@
         elif isinstance(a, i.Refuse):
             if any(t[2] != "safe" for t in self.tries.get(a.request, [])):
                 cls = self.s.classes[self.open[a.request][0].cls]
-                assert cls.effect is not i.Effect.UNSAFE, "refused what may have run"
-                assert cls.effect is i.Effect.SAFE or cls.group is i.Group.ALL, "refused beyond the group"
+                assert cls.idempotency is not i.Idempotency.UNSAFE, "refused what may have run"
+                assert cls.idempotency is i.Idempotency.SAFE or cls.dedup_scope is i.DedupScope.ALL, (
+                    "refused beyond the group"
+                )
             self.finish(a.request)
         elif isinstance(a, i.Fail):
             self.finish(a.request)
@@ -142,14 +158,14 @@
         assert a.server not in self.out[gate], "sent to a server that staff took out"
         ask = self.open[a.request][0]
         cls, before = self.s.classes[ask.cls], self.tries.setdefault(a.request, [])
-        assert self.s.parallel or all(t[2] != "out" for t in before), "two attempts out at once"
+        assert self.s.allow_parallel or all(t[2] != "out" for t in before), "two attempts out at once"
         risky = [t for t in before if t[2] != "safe"]
-        if risky and cls.effect is not i.Effect.SAFE:
-            assert cls.effect is i.Effect.KEYED, "sent an unsafe request again"
-            assert self.now <= risky[0][1] + cls.window, "sent again after the window"
-            if cls.group is i.Group.CELL:
+        if risky and cls.idempotency is not i.Idempotency.SAFE:
+            assert cls.idempotency is i.Idempotency.KEYED, "sent an unsafe request again"
+            assert self.now <= risky[0][1] + cls.dedup_window, "sent again after the window"
+            if cls.dedup_scope is i.DedupScope.CELL:
                 assert a.server % 2 == risky[0][0] % 2, "sent again outside the group"
-            if cls.group is i.Group.ZONE:
+            if cls.dedup_scope is i.DedupScope.ZONE:
                 assert a.server % 3 == risky[0][0] % 3, "sent again outside the hall"
         if not before and self.s.plans[0].ceiling_rate:
             filled = self.room + self.s.plans[0].ceiling_rate * (self.now - self.room_at)
@@ -157,8 +173,8 @@
             assert self.room >= -CEILING.ceiling_slack, "the ceiling is passed"
         before.append((a.server, self.now, "out"))
         end, took = self.rng.choice(self.ends), self.rng.choice(self.paces)
-        if self.now + took > a.stop_at:
-            end, took = i.End.TIMEOUT, max(0.0, a.stop_at - self.now)
+        if self.now + took > a.deadline:
+            end, took = i.End.TIMEOUT, max(0.0, a.deadline - self.now)
         self.later(took, gate, i.Outcome(a.request, len(before) - 1, a.server, end, took))
 
     def count(self, gate: int, a: i.Count) -> None:
@@ -167,13 +183,13 @@
         if self.counter == "silent":
             end = i.End.TIMEOUT
         elif self.counter == "refusing":
-            end = i.End.FULL
+            end = i.End.REJECTED
         elif self.counter == "lying":
             total = self.rng.choice([0.0, float("nan"), -50.0, float("inf"), total])
         elif self.counter == "emptied" and self.rng.random() < 0.1:
             self.totals.clear()
         took = 0.05 if end is i.End.TIMEOUT else 0.04 if self.counter == "crawling" else 0.002
-        self.later(took, gate, i.Counted(a.name, took, end, total))
+        self.later(took, gate, i.CountOutcome(a.name, took, end, total))
 
 
 COUNTERS = ["well", "silent", "refusing", "lying", "emptied", "crawling"]
@@ -182,8 +198,8 @@
 @hyp(max_examples=25, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.integers(1, 3), st.sampled_from(COUNTERS), st.booleans(), st.booleans())
 def test_rules_hold_in_any_trouble(seed: int, gates: int, counter: str, parallel: bool, cancel: bool) -> None:
-    s = settings(classes=CLASSES, plans=(CEILING,), gateways=gates, parallel=parallel, cancel=cancel,
-                 max_attempts=4, cross_zone_price=0.02)  # fmt: skip
+    s = settings(classes=CLASSES, plans=(CEILING,), gateways=gates, allow_parallel=parallel,
+                 allow_cancel=cancel, max_attempts=4, cross_zone_price=0.02)  # fmt: skip
     world = World(seed, gates, counter, s)
     world.run(120)
     assert world.sent > 0
@@ -194,9 +210,11 @@
     s = settings(classes=CLASSES[:1], plans=(CEILING,), gateways=2)
     world = World(4, 2, counter, s)
     world.run(40)
-    world.gates[0] = Gateway(replace(s, me=0), 99)
+    world.gates[0] = Gateway(replace(s, gateway_index=0), 99)
     world.queue = [e for e in world.queue if e[2] != 0]
-    world.gates[0].handle(world.now, [i.ServerList(i.ListKind.WHOLE, tuple(entry(n) for n in world.health))])
+    world.gates[0].handle(
+        world.now, [i.ServerList(i.ListKind.COMPLETE, tuple(entry(n) for n in world.health))]
+    )
     world.told[0], world.out[0] = {n: i.Health.READY for n in world.health}, set()
     for n in range(1000, 1020):
         ask = i.Request(n, 0, 0, 5, 1.0, 4.0, 2)
@@ -241,23 +259,25 @@
     s = settings(classes=CLASSES[:1], plans=(CEILING,), gateways=2)
     world = World(4, 2, counter, s)
     world.run(40)
-    new = Gateway(replace(s, me=0), 99)
+    new = Gateway(replace(s, gateway_index=0), 99)
     lines = tuple(entry(n, health=health) for n, health in world.told[0].items())
-    new.handle(world.now, [i.ServerList(i.ListKind.WHOLE, lines), *(i.Banned(n, True) for n in world.out[0])])
+    new.handle(
+        world.now, [i.ServerList(i.ListKind.COMPLETE, lines), *(i.BanChanged(n, True) for n in world.out[0])]
+    )
     snapshot.give(new, json.loads(json.dumps(snapshot.take(world.gates[0]))), world.now)
     world.gates.append(new)
     world.told.append(dict(world.told[0]))
     world.out.append(set(world.out[0]))
     for n in range(1000, 1060):  # the third gate is the first's successor: together they are one of two
         gate = n % 3
-        world.later(0.0, gate, i.Request(n, 0, 0, 5, 1.0, 4.0, 2, parts=1 if gate == 1 else 2))
+        world.later(0.0, gate, i.Request(n, 0, 0, 5, 1.0, 4.0, 2, account_workers=1 if gate == 1 else 2))
         world.step(0.005)
     assert world.room >= -CEILING.ceiling_slack
 
 
 def test_nothing_is_sent_to_a_server_in_the_batch_that_drains_it() -> None:
-    gateway = Gateway(settings(counter=False), 1)
-    gateway.handle(0.0, [i.ServerList(i.ListKind.WHOLE, (entry(1), entry(2)))])
+    gateway = Gateway(settings(use_counter=False), 1)
+    gateway.handle(0.0, [i.ServerList(i.ListKind.COMPLETE, (entry(1), entry(2)))])
     drain = i.ServerList(i.ListKind.CHANGES, (entry(1, health=i.Health.DRAINING),))
     asks = [i.Request(n, 0, 0, n, 2.0) for n in range(12)]
     sends = [a for a in gateway.handle(0.1, [*asks, drain]) if isinstance(a, i.Send)]
@@ -268,12 +288,12 @@
 @pytest.mark.parametrize("gates", [1, 3])
 def test_cold_server_stays_within_the_fall_budget(gates: int) -> None:
     # Eight servers of one second's work a second at half load, one cold at a fifth: all gateways alike.
-    s = settings(counter=False, gateways=gates, plans=(i.Plan(),), cold=10.0, cold_from=0.2, fall=3.0,
-                 fall_multiple=2.5)  # fmt: skip
+    s = settings(use_counter=False, gateways=gates, plans=(i.Plan(),), slow_start_duration=10.0,
+                 slow_start_share=0.2, collapse_time=3.0, collapse_ratio=2.5)  # fmt: skip
     lines = tuple(entry(n) for n in range(1, 9))
     gateways = [Gateway(s, n) for n in range(gates)]
     for gate in gateways:
-        gate.handle(0.0, [i.ServerList(i.ListKind.WHOLE, lines)])
+        gate.handle(0.0, [i.ServerList(i.ListKind.COMPLETE, lines)])
     rng, now, number, work, cold_sends = random.Random(5), 0.0, 0, 0.16, []
     pending: list[tuple[float, int, i.Event]] = []
     while now < 20.0:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -23,7 +23,7 @@
 
 
 def free(**changes: object) -> i.Settings:
-    return settings(counter=False, plans=(i.Plan(),), **changes)
+    return settings(use_counter=False, plans=(i.Plan(),), **changes)
 
 
 def serve(rig: GatewayRig, took: float = 0.1) -> int:
@@ -39,15 +39,15 @@
     """120 gateways, half of them just started; a third of 30 servers comes back cold within a tenth of a
     second. A warm server does one second's work a second; what is asked is 0.6 of what all warm would do.
     Whether hardly anything was sent to the cold ones, and the largest share of the fall budget spent."""
-    s = settings(counter=False, gateways=120, plans=(i.Plan(),), cold=15.0, cold_from=0.16, fall=3.0,
-                 fall_multiple=2.5)  # fmt: skip
+    s = settings(use_counter=False, gateways=120, plans=(i.Plan(),), slow_start_duration=15.0,
+                 slow_start_share=0.16, collapse_time=3.0, collapse_ratio=2.5)  # fmt: skip
     rng, work, cold = random.Random(3), 0.15, range(1, number_cold + 1)
     lines = tuple(entry(n, started=50.0 + 0.01 * n if n in cold else 0.0) for n in range(1, 31))
     gates = [make(s, n) for n in range(120)]
     for n, gate in enumerate(gates):
         if n % 2:
-            gate.handle(20.0, [i.ServerList(i.ListKind.WHOLE, tuple(entry(k) for k in range(1, 31)))])
-        gate.handle(50.2, [i.ServerList(i.ListKind.WHOLE, lines)])
+            gate.handle(20.0, [i.ServerList(i.ListKind.COMPLETE, tuple(entry(k) for k in range(1, 31)))])
+        gate.handle(50.2, [i.ServerList(i.ListKind.COMPLETE, lines)])
     weights = [1.0 if spread == "even" else 1.0 / (1 + n) for n in range(120)]
     sent: dict[int, list[float]] = {n: [] for n in cold}
     pending: list[tuple[float, int, i.Event]] = []
@@ -150,8 +150,8 @@
 
 
 def test_work_whose_client_left_is_cancelled() -> None:
-    gateway = Gateway(free(cancel=True), 1)
-    gateway.handle(0.0, [i.ServerList(i.ListKind.WHOLE, (entry(1), entry(2)))])
+    gateway = Gateway(free(allow_cancel=True), 1)
+    gateway.handle(0.0, [i.ServerList(i.ListKind.COMPLETE, (entry(1), entry(2)))])
     assert any(isinstance(a, i.Send) for a in gateway.handle(0.1, [i.Request(1, 0, 0, 5, 2.0)]))
     assert i.Cancel(1, 0) in gateway.handle(0.9, [i.ClientGone(1)])
 
@@ -184,10 +184,10 @@
 def test_where_most_servers_are_cold_they_bear_their_part_and_not_the_warm_ones_all() -> None:
     # Six in ten replaced within seconds: drawn by chance over all, they were sent an eighth of a warm one's
     # part while the warm ones were overrun and shed.
-    gateway = Gateway(settings(counter=False, plans=(i.Plan(),), cold=16.0, cold_from=0.15, fall=1.5,
-                               fall_multiple=2.5), 1)  # fmt: skip
+    gateway = Gateway(settings(use_counter=False, plans=(i.Plan(),), slow_start_duration=16.0,
+                               slow_start_share=0.15, collapse_time=1.5, collapse_ratio=2.5), 1)  # fmt: skip
     lines = tuple(entry(n, started=96.0 if n <= 36 else 0.0) for n in range(1, 61))  # at 0.36 of a whole one
-    gateway.handle(100.0, [i.ServerList(i.ListKind.WHOLE, lines)])
+    gateway.handle(100.0, [i.ServerList(i.ListKind.COMPLETE, lines)])
     sent = [0, 0]
     for n in range(4000):
         for a in gateway.handle(100.0, [i.Request(n, 0, 0, n, 2.0)]):
@@ -302,9 +302,9 @@
     gateway = Gateway(settings(), 1)
     gateway.handle(0.0, [])
     events: list[i.Event] = [
-              i.Outcome(9, 0, 9, i.End.OK, 0.1), i.ClientGone(9), i.TimerFired(123456), i.PeerSaid(1, b"x"),
-              i.Counted(9, 0.1, i.End.OK, 5.0), i.StreamStarted(9, 0, 9, 0.1),
-              i.Probed(9, i.End.OK, 0.1)]  # fmt: skip
+              i.Outcome(9, 0, 9, i.End.OK, 0.1), i.ClientGone(9), i.TimerFired(123456),
+              i.PeerMessage(1, b"x"), i.CountOutcome(9, 0.1, i.End.OK, 5.0), i.StreamStarted(9, 0, 9, 0.1),
+              i.ProbeOutcome(9, i.End.OK, 0.1)]  # fmt: skip
     assert gateway.handle(0.1, events) == []
 
 
@@ -372,7 +372,7 @@
 @pytest.mark.parametrize(("servers", "spared"), [(60, True), (4, False)])
 def test_an_error_is_believed_at_once_where_a_server_is_met_rarely(servers: int, spared: bool) -> None:
     # One of forty gateways meets each of 60 servers once in seconds: three errors in a row never came about.
-    rig = GatewayRig(settings(counter=False, plans=(i.Plan(),)), servers=servers)
+    rig = GatewayRig(settings(use_counter=False, plans=(i.Plan(),)), servers=servers)
     for n in range(200):
         rig.at(n * 0.2)
         rig.ask(customer=n)
@@ -387,7 +387,7 @@
 
 def test_a_kept_connection_is_preferred_to_opening_one() -> None:
     # Forty gateways with little traffic opened one for every second order; each costs a server work.
-    rig = GatewayRig(settings(counter=False, plans=(i.Plan(),)), servers=2)
+    rig = GatewayRig(settings(use_counter=False, plans=(i.Plan(),)), servers=2)
     rig.gateway.servers[2].kept_at = rig.now
     for n in range(5):
         rig.ask(customer=n)
@@ -398,7 +398,7 @@
 def test_who_sheds_all_finds_out_that_the_load_is_over() -> None:
     # With nothing sent on nothing new is learnt: late answers of a burst kept one of forty gateways shedding
     # nearly all for ten seconds after the servers were idle.
-    rig = GatewayRig(settings(counter=False, plans=(i.Plan(),)))
+    rig = GatewayRig(settings(use_counter=False, plans=(i.Plan(),)))
     gateway = rig.gateway
     gateway.shed, gateway.answered, gateway.took, gateway.late, gateway.missed = 0.95, 16.0, 14.0, 8.0, 6.0
     gateway.pace, gateway.unanswered, gateway.ended_at = 0.9, 0.3, rig.now
@@ -458,7 +458,7 @@
         rig.ask(customer=n)
         counts, rig.counts = rig.counts, []
         for c in counts:
-            rig.give(replace(rig.answer(c), took=0.018))
+            rig.give(replace(rig.answer(c), duration=0.018))
         if rig.last() == "sent":
             rig.finish()
     assert rig.gateway.ask == 1.0
@@ -509,7 +509,7 @@
 
 
 def test_what_is_shed_is_told_when_to_come_back_and_not_all_at_once() -> None:
-    rig = GatewayRig(settings(counter=False))
+    rig = GatewayRig(settings(use_counter=False))
     rig.gateway.shed = 0.95
     rig.gateway.late = rig.gateway.answered = 50.0
     while len(rig.refusals) < 50:
@@ -523,7 +523,7 @@
     assert max(r.retry_after for r in rig.refusals[calm:]) < min(waits)
 
 
-UNSAFE = (i.RequestClass(aim=0.8, deadline=2.0, effect=i.Effect.UNSAFE),)
+UNSAFE = (i.RequestClass(aim=0.8, deadline=2.0, idempotency=i.Idempotency.UNSAFE),)
 
 
 @pytest.mark.parametrize("path", ["quota", "counter silent", "shed", "no server fits", "budget spent",
@@ -558,7 +558,7 @@
             rig.finish(i.End.ERROR)
             assert rig.last() == "sent"
         before = rig.now
-        rig.finish({"budget spent": i.End.FULL, "moot": i.End.MOOT}.get(path, i.End.ERROR))
+        rig.finish({"budget spent": i.End.REJECTED, "moot": i.End.NOT_SENT}.get(path, i.End.ERROR))
         assert rig.last() == final and rig.now == before
     if final == "refused":
         assert rig.refusals[-1].retry_after >= (rig.gateway.s.tick if counts else 0.02)
@@ -581,7 +581,7 @@
 @pytest.mark.parametrize("price", [0.02, 0.0])
 def test_a_priced_crossing_of_halls_is_made_only_where_the_own_hall_has_no_room(price: float) -> None:
     rig = GatewayRig(free(zone=1, cross_zone_price=price), servers=0)
-    rig.give(i.ServerList(i.ListKind.WHOLE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
+    rig.give(i.ServerList(i.ListKind.COMPLETE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
     for _ in range(90):  # light: one at a time
         rig.at(rig.now + 0.05)
         serve(rig)
@@ -620,7 +620,7 @@
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
 def test_a_server_that_starts_while_we_serve_is_cold_whatever_the_clocks_say(step: float) -> None:
     # Our clock is an hour ahead of the list's, or an hour behind it.
-    rig = GatewayRig(free(cold=16.0, cold_from=0.15), servers=3)
+    rig = GatewayRig(free(slow_start_duration=16.0, slow_start_share=0.15), servers=3)
     rig.at(10_000.0)
     rig.give(i.ServerList(i.ListKind.CHANGES, (entry(4, started=rig.now - step),)))
     gate = rig.gateway
@@ -637,8 +637,8 @@
 
 
 def test_servers_of_the_first_list_are_as_old_as_it_says() -> None:
-    gate = Gateway(free(cold=16.0, cold_from=0.15), 1)
+    gate = Gateway(free(slow_start_duration=16.0, slow_start_share=0.15), 1)
     gate.handle(10_000.0, [i.ServerList(i.ListKind.CACHED, (entry(1, started=5_000.0),))])
     both = entry(1, started=5_000.0), entry(2, started=5_000.0)
-    gate.handle(10_000.1, [i.ServerList(i.ListKind.WHOLE, both)])
+    gate.handle(10_000.1, [i.ServerList(i.ListKind.COMPLETE, both)])
     assert [gate.coldness(s) for s in gate.servers.values()] == [1.0, 1.0]
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -50,7 +50,7 @@
     assert [n.address for n in config.house.known] == ["127.0.0.1:7001"]
     assert config.house.settings.plans[0].rate == pytest.approx(1.5)
     assert config.house.settings.classes[1].deadline == 3.0
-    assert not config.house.settings.counter and not config.house.node_list_address
+    assert not config.house.settings.use_counter and not config.house.node_list_address
 
 
 MISTAKES = {
@@ -257,6 +257,10 @@
     text += "kind add-order repeat=keyed window=3s among=site aim=1200ms deadline=5s worth=5\n"
     config = make_config(s.as_told(parse(text)), {})
     keyed, never = config.house.settings.classes[2], config.house.settings.classes[1]
-    assert (keyed.effect, keyed.group, keyed.window) == (i.Effect.KEYED, i.Group.ZONE, 3.0)
-    assert never.effect is i.Effect.UNSAFE and config.house.settings.cross_zone_price == 0.02
+    assert (keyed.idempotency, keyed.dedup_scope, keyed.dedup_window) == (
+        i.Idempotency.KEYED,
+        i.DedupScope.ZONE,
+        3.0,
+    )
+    assert never.idempotency is i.Idempotency.UNSAFE and config.house.settings.cross_zone_price == 0.02
     assert config.house.settings.zone == 1 and config.trade.kinds["add-order"] == (2, "POST")
--- a/tests/test_three_halls.py
+++ b/tests/test_three_halls.py
@@ -42,7 +42,7 @@
         self.ends: dict[int, str] = {}  # the final answers
         self.requests: dict[int, i.Request] = {}
         self.again: Callable[[int, int], None] = lambda gate, request: None  # what a refused client does
-        self.gates = [Gateway(replace(HALLS, me=n, zone=n), seed + n) for n in range(3)]
+        self.gates = [Gateway(replace(HALLS, gateway_index=n, zone=n), seed + n) for n in range(3)]
         for n in range(3):
             self.start(n, seed + n)
 
@@ -50,7 +50,7 @@
         """With nothing but its last list; what was out there is gone with the one before it."""
         self.queue = [e for e in self.queue if e[2] != gate]
         heapq.heapify(self.queue)
-        self.gates[gate] = Gateway(replace(HALLS, me=gate, zone=gate), seed)
+        self.gates[gate] = Gateway(replace(HALLS, gateway_index=gate, zone=gate), seed)
         self.tell(gate, i.ServerList(i.ListKind.CACHED, NODES))
 
     def later(self, after: float, gate: int, event: i.Event) -> None:
@@ -97,20 +97,20 @@
         self.totals[a.name] = self.totals.get(a.name, 0.0) + a.amount
         took = self.busy - self.now + 0.001
         late = took > HALLS.counter_timeout
-        answer = i.Counted(a.name, min(took, HALLS.counter_timeout), i.End.TIMEOUT if late else i.End.OK,
+        answer = i.CountOutcome(a.name, min(took, HALLS.counter_timeout), i.End.TIMEOUT if late else i.End.OK,
                            0.0 if late else self.totals[a.name])  # fmt: skip
-        self.later(answer.took, gate, answer)
+        self.later(answer.duration, gate, answer)
 
     def let_in(self, customer: int, since: float = 0.0) -> float:
         first = {r: when for r, _, _, when in reversed(self.sent)}
         return sum(self.requests[r].units for r, when in first.items()
-                   if self.requests[r].customer == customer and when >= since)  # fmt: skip
+                   if self.requests[r].account == customer and when >= since)  # fmt: skip
 
 
 def test_the_settings_file_tells_what_the_cases_below_rest_on() -> None:
-    effects = [c.effect for c in HALLS.classes]
-    assert effects == [i.Effect.SAFE, i.Effect.KEYED, i.Effect.UNSAFE]
-    assert HALLS.classes[ORDER].group is i.Group.ZONE and HALLS.classes[ORDER].window == 3.0
+    effects = [c.idempotency for c in HALLS.classes]
+    assert effects == [i.Idempotency.SAFE, i.Idempotency.KEYED, i.Idempotency.UNSAFE]
+    assert HALLS.classes[ORDER].dedup_scope is i.DedupScope.ZONE and HALLS.classes[ORDER].dedup_window == 3.0
     assert HALLS.gateways == 3 and all(p.ceiling_rate == 0 for p in HALLS.plans)
 
 
@@ -139,8 +139,8 @@
 @pytest.mark.parametrize(("after", "again"), [(0.5, True), (2.9, True), (3.1, False)])
 def test_a_keyed_order_is_repeated_in_its_hall_and_within_its_window_only(after: float, again: bool) -> None:
     for seed in range(30):
-        rig = GatewayRig(replace(HALLS, counter=False, plans=(i.Plan(),)), servers=0, seed=seed)
-        rig.give(i.ServerList(i.ListKind.WHOLE, NODES))
+        rig = GatewayRig(replace(HALLS, use_counter=False, plans=(i.Plan(),)), servers=0, seed=seed)
+        rig.give(i.ServerList(i.ListKind.COMPLETE, NODES))
         assert rig.ask(budget=4.0, cls=ORDER) == "sent"
         rig.at(rig.now + after)
         rig.finish(i.End.RESET, took=after)
@@ -194,5 +194,5 @@
         fleet.until(fleet.now + 0.02)
     since = fleet.let_in(1, since=8.0)  # from the first restart on
     assert since < 1.25 * (RATE * (fleet.now - 8.0) + BURST)
-    rest = [r for r, q in fleet.requests.items() if q.customer != 1 and r > 600]
+    rest = [r for r, q in fleet.requests.items() if q.account != 1 and r > 600]
     assert sum(fleet.ends.get(r) == "served" for r in rest) > 0.97 * len(rest) - 10
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     ("status", "unprocessed", "end"),
     [
-        (200, "", i.End.OK), (500, "", i.End.ERROR), (503, "1", i.End.FULL), (504, "1", i.End.FULL),
+        (200, "", i.End.OK), (500, "", i.End.ERROR), (503, "1", i.End.REJECTED), (504, "1", i.End.REJECTED),
         (503, "", i.End.ERROR), (500, "1", i.End.ERROR), (404, "", i.End.ERROR),
     ],
 )  # fmt: skip
@@ -76,7 +76,11 @@
 
 @pytest.mark.parametrize(
     ("status", "body", "end", "load"),
-    [(200, b"util=0.5", i.End.OK, {"util": 0.5}), (503, b"", i.End.FULL, {}), (404, b"", i.End.ERROR, {})],
+    [
+        (200, b"util=0.5", i.End.OK, {"util": 0.5}),
+        (503, b"", i.End.REJECTED, {}),
+        (404, b"", i.End.ERROR, {}),
+    ],
 )
 def test_probe_answers(status: int, body: bytes, end: i.End, load: dict[str, float]) -> None:
     answered = stock_nodes.understand_probe(1, reply(status, body))
@@ -95,7 +99,8 @@
 @pytest.mark.parametrize(
     ("answer", "end", "total"),
     [
-        (reply(200, b"12.5"), i.End.OK, 12.5), (reply(503), i.End.FULL, 0.0), (reply(404), i.End.FULL, 0.0),
+        (reply(200, b"12.5"), i.End.OK, 12.5), (reply(503), i.End.REJECTED, 0.0),
+        (reply(404), i.End.REJECTED, 0.0),
         *[(reply(200, b), i.End.ERROR, 0.0) for b in (b"", b"plenty", b"inf", b"nan", b"1e", b"0x1", b"1_0")],
         (reply(500), i.End.ERROR, 0.0), (reply(200, b"-1.5e3"), i.End.OK, -1500.0),
     ],
@@ -143,7 +148,7 @@
 
 def test_a_configuration_becomes_the_figures_of_the_house() -> None:
     config = make_config(told(), {})
-    assert config.house.settings.classes[1].effect is i.Effect.UNSAFE
+    assert config.house.settings.classes[1].idempotency is i.Idempotency.UNSAFE
     assert config.house.idle_limit < timedelta(seconds=15)
     assert config.house.known_version == 41 and len(config.house.known) == 1
     assert config.house.most_lines + config.house.most_orders < 1024
@@ -210,7 +215,7 @@
 
 FIGURES = st.floats(0.01, 1e4, allow_nan=False)
 NAMES = st.text("abcdefghijklmnopqrstuvwxyz-", min_size=1, max_size=12)
-EFFECTS = {"retryable": i.Effect.SAFE, "dedup": i.Effect.KEYED, "fragile": i.Effect.UNSAFE}
+EFFECTS = {"retryable": i.Idempotency.SAFE, "dedup": i.Idempotency.KEYED, "fragile": i.Idempotency.UNSAFE}
 CLASSES = st.lists(
     st.fixed_dictionaries({
         "name": NAMES, "aim": FIGURES, "deadline": FIGURES, "credit": FIGURES, "late_value": FIGURES,
@@ -254,9 +259,10 @@
     config = make_config(told(settings=d), {})
     s = config.house.settings
     domain, ceilings, rules = d["domain"], d["ceilings"], d["invariants"]
-    assert (s.gateways, s.me, s.zone, s.tick) == (d["balancers"], d["me"], d["zone"], d["tick"])
+    assert (s.gateways, s.gateway_index, s.zone, s.tick) == (d["balancers"], d["me"], d["zone"], d["tick"])
     assert [
-        (c.aim, c.deadline, c.worth, c.late_worth, c.effect, c.group.value, c.window) for c in s.classes
+        (c.aim, c.deadline, c.worth, c.late_worth, c.idempotency, c.dedup_scope.value, c.dedup_window)
+        for c in s.classes
     ] == [
         (c["aim"], c["deadline"], c["credit"], c["late_value"], EFFECTS[c["effect"]], c["group"], c["window"])
         for c in d["classes"]
@@ -270,21 +276,23 @@
          p["never_over_depth"], p["hard_slack"])
         for p in d["tiers_of_service"]
     ]  # fmt: skip
-    assert (s.counter, s.counter_timeout, s.most_units, s.settles, s.meter_period) == (
+    assert (s.use_counter, s.counter_timeout, s.max_units, s.charge_true_units, s.meter_period) == (
         domain["shared_counter"], domain["counter_timeout"], domain["units_top"], domain["trued_up"],
         domain["meter_period"],
     )  # fmt: skip
-    assert (s.max_attempts, s.cancel, s.parallel, s.probes, s.max_retry_after) == (
+    assert (s.max_attempts, s.allow_cancel, s.allow_parallel, s.allow_probes, s.max_retry_after) == (
         ceilings["try_limit"], ceilings["cancelling"], ceilings["parallel_tries"], ceilings["probes"],
         ceilings["max_retry_after"],
     )  # fmt: skip
-    assert (s.cold, s.cold_from, s.fall, s.fall_multiple, s.ask_within) == (
+    assert (
+        s.slow_start_duration, s.slow_start_share, s.collapse_time, s.collapse_ratio, s.max_watch_interval,
+    ) == (
         rules["cold"], rules["cold_from"], rules["fall"], rules["fall_multiple"], rules["ask_within"]
     )  # fmt: skip
     assert s.cross_zone_price == d["prices"]["cross_zone"]
     assert s.list_on_request is (d["discovery"] == "on_request")
     assert config.zones == tuple(d["zones"])
-    assert s.keeps_open < ceilings["conn_idle"]
+    assert s.idle_timeout < ceilings["conn_idle"]
     assert config.house.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
     assert config.trade.kinds == {
         c["name"]: (n, "GET" if c["effect"] == "retryable" else "POST") for n, c in enumerate(d["classes"])
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -313,13 +313,16 @@
 
 
 # --- the gateways' part ------------------------------------------------------------------------------------
-TWO = (i.RequestClass(aim=0.8, deadline=2.0), i.RequestClass(aim=0.8, deadline=2.0, effect=i.Effect.UNSAFE))
+TWO = (
+    i.RequestClass(aim=0.8, deadline=2.0),
+    i.RequestClass(aim=0.8, deadline=2.0, idempotency=i.Idempotency.UNSAFE),
+)
 
 
 def halls(**changes: object) -> GatewayRig:
-    told = settings(counter=False, plans=(i.Plan(),), classes=TWO, cancel=True, **changes)
+    told = settings(use_counter=False, plans=(i.Plan(),), classes=TWO, allow_cancel=True, **changes)
     rig = GatewayRig(told, servers=0)
-    rig.give(i.ServerList(i.ListKind.WHOLE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
+    rig.give(i.ServerList(i.ListKind.COMPLETE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
     return rig
 
 
@@ -344,7 +347,7 @@
 
 def test_a_trial_takes_one_request_that_may_be_repeated() -> None:
     rig = halls()
-    rig.give(i.ZoneShare(1, 0.0, trial=4))
+    rig.give(i.ZoneShare(1, 0.0, trial_server=4))
     assert 1 not in met(rig, 20, cls=1)
     assert met(rig, 20).count(1) == 1
 
