--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -23,7 +23,7 @@
 from opalgauge.wire.clients import Clients
 from opalgauge.wire.exchange import Exchange
 from opalgauge.wire.node_list import NodeListReader
-from starlinggap.snapshot import take
+from starlinggap.snapshot import export_state
 
 if TYPE_CHECKING:
     from opalgauge.handover.link import Link
@@ -111,12 +111,12 @@
     waits = None
     if peering.replicate:
         from opalgauge.replica.channel import Channel as ReplicaChannel
-        from starlinggap.snapshot import ejections
+        from starlinggap.snapshot import active_ejections
 
         gateway = exchange.reducer.gateway
         copy = ReplicaChannel(
             s.gateway_index, s.gateways, wire, peering.secret, seed, exchange.report, clock.now,
-            lambda: ejections(gateway, clock.now().timestamp()),
+            lambda: active_ejections(gateway, clock.now().timestamp()),
         )  # fmt: skip
         exchange.do[fx.MarkMade] = copy.marked
         if holder is not None:
@@ -138,7 +138,7 @@
     reducer = exchange.reducer
 
     def memory() -> dict[str, Any]:
-        return {**take(reducer.gateway), BANS: reducer.bans()}
+        return {**export_state(reducer.gateway), BANS: reducer.bans()}
 
     who = Identity.of(config.name, config.settings_told)
     link = Link(config.scratch, memory, lambda: Moment(clock.now(), clock.steady()), log, who)
--- a/opalgauge/memory/reducer.py
+++ b/opalgauge/memory/reducer.py
@@ -1090,7 +1090,7 @@
 
     def _nodes_ejected(self, event: ev.NodesEjected) -> None:
         for node, started, kind, until in event.found:
-            snapshot.eject(self.gateway, node, started, kind, until, self.now.timestamp())
+            snapshot.adopt_ejection(self.gateway, node, started, kind, until, self.now.timestamp())
 
     def _mark(self, mark: ev.MaintMark) -> None:
         marks = self.books.marks
@@ -1129,8 +1129,8 @@
 
     def _memory_handed(self, event: ev.MemoryHanded) -> None:
         try:
-            snapshot.give(self.gateway, event.memory, self.now.timestamp())
-        except snapshot.Unusable as bad:
+            snapshot.import_state(self.gateway, event.memory, self.now.timestamp())
+        except snapshot.SnapshotError as bad:
             self.out.append(fx.Log(f"handover: what the old process knows cannot be used: {bad}"))
             return
         known = len(self.gateway.customers)
--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -1,6 +1,7 @@
 """What one gateway has learned, for another that takes its place: plain values, no decisions.
 
-`take` gives what json can hold; `give` checks it as a whole and changes nothing where any of it is no good.
+`export_state` gives what json can hold; `import_state` checks it as a whole and changes nothing where any of
+it is no good.
 Debts to the counter stay with the gateway that owes them, and so do requests and attempts.
 """
 
@@ -14,24 +15,24 @@
 from starlinggap.brain import EJECT_FIRST, EJECT_MOST, ILL, Gateway
 from starlinggap.quota import Account
 
-MOST = 5000  # customers, those seen last
+MAX_ACCOUNTS = 5000  # customers, those seen last
 # What the gateway itself has learned, of the counter, of load and of the usual times.
 LEARNED = ("born", "stake", "ask", "ask_at", "best", "trial_at", "cut_at", "forgot_at", "retries", "answered",
            "took", "late", "missed", "shed", "ended_at", "pace", "unanswered")  # fmt: skip
 LISTS = ("let_in", "usual", "tried", "lost")
-CUSTOMER = ("total", "own", "lost", "prev", "deficit", "others", "withheld", "at", "told", "denied", "seen",
-            "asked", "let_in", "heard", "room")  # fmt: skip
-FLAGS = ("prev_known", "stale")
-SERVER = ("ratio", "queue", "done_at", "back")
+ACCOUNT_FIELDS = ("total", "own", "lost", "prev", "deficit", "others", "withheld", "at", "told", "denied",
+                  "seen", "asked", "let_in", "heard", "room")  # fmt: skip
+ACCOUNT_FLAGS = ("prev_known", "stale")
+SERVER_FIELDS = ("ratio", "queue", "done_at", "back")
 
 
-class Unusable(Exception):
-    """Not what `take` gives, or of other settings."""
+class SnapshotError(Exception):
+    """Not what `export_state` gives, or of other settings."""
 
 
-def take(gateway: Gateway) -> dict[str, Any]:
+def export_state(gateway: Gateway) -> dict[str, Any]:
     plans = list(gateway.s.plans)
-    customers = list(gateway.customers.values())[-MOST:]
+    customers = list(gateway.customers.values())[-MAX_ACCOUNTS:]
     return {
         "kinds": len(gateway.s.classes),
         "plans": len(plans),
@@ -39,19 +40,19 @@
         "lists": {name: list(getattr(gateway, name)) for name in LISTS},
         "quick": gateway.quick,
         "servers": [
-            [key, server.entry.started, [getattr(server, name) for name in SERVER],
+            [key, server.entry.started, [getattr(server, name) for name in SERVER_FIELDS],
              [[cls, *ill] for cls, ill in server.ill.items()]]
             for key, server in gateway.servers.items()
         ],
         "customers": [
             [c.id, plans.index(c.plan), c.spread // c.parts, c.parts, c.window,
-             [getattr(c, name) for name in CUSTOMER], [getattr(c, name) for name in FLAGS]]
+             [getattr(c, name) for name in ACCOUNT_FIELDS], [getattr(c, name) for name in ACCOUNT_FLAGS]]
             for c in customers
         ],
     }  # fmt: skip
 
 
-def ejections(gateway: Gateway, now: float) -> list[tuple[int, float, int, float]]:
+def active_ejections(gateway: Gateway, now: float) -> list[tuple[int, float, int, float]]:
     """Servers that it has ejected by what it saw: server, its start, for which class, until when."""
     return [
         (key, server.entry.started, cls, ill[1])
@@ -61,7 +62,7 @@
     ]
 
 
-def eject(gateway: Gateway, key: int, started: float, cls: int, until: float, now: float) -> None:
+def adopt_ejection(gateway: Gateway, key: int, started: float, cls: int, until: float, now: float) -> None:
     """Takes over what others found of a server, if it is the same start of it; no longer than it ejects."""
     server = gateway.servers.get(key)
     if server is None or server.entry.started != started or not 0 <= cls < len(gateway.s.classes):
@@ -71,30 +72,30 @@
     ill[0], ill[1] = max(ill[0], ILL * 1.01), max(ill[1], min(until, now + EJECT_MOST))
 
 
-def number(value: Any) -> float:
+def parse_number(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or math.isnan(value):
-        raise Unusable("not a number")
+        raise SnapshotError("not a number")
     return float(value)
 
 
-def numbers(values: Any, count: int) -> list[float]:
+def parse_numbers(values: Any, count: int) -> list[float]:
     if not isinstance(values, list) or len(values) != count:
-        raise Unusable("not as many values as there should be")
-    return [number(v) for v in values]
+        raise SnapshotError("not as many values as there should be")
+    return [parse_number(v) for v in values]
 
 
-def give(gateway: Gateway, told: Any, now: float) -> None:
-    """Takes over what another gateway of the same settings has learned. Raises Unusable."""
+def import_state(gateway: Gateway, told: Any, now: float) -> None:
+    """Takes over what another gateway of the same settings has learned. Raises SnapshotError."""
     try:
         if told["kinds"] != len(gateway.s.classes) or told["plans"] != len(gateway.s.plans):
-            raise Unusable("of other settings")
-        learned = {name: number(told["learned"][name]) for name in LEARNED}
-        lists = {name: numbers(told["lists"][name], len(getattr(gateway, name))) for name in LISTS}
+            raise SnapshotError("of other settings")
+        learned = {name: parse_number(told["learned"][name]) for name in LEARNED}
+        lists = {name: parse_numbers(told["lists"][name], len(getattr(gateway, name))) for name in LISTS}
         quick = bool(told["quick"])
-        known = [_customer(gateway, one, now) for one in told["customers"]]
-        servers = [_server(one) for one in told["servers"]]
+        known = [_parse_account(gateway, one, now) for one in told["customers"]]
+        servers = [_parse_server(one) for one in told["servers"]]
     except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as bad:
-        raise Unusable(f"{type(bad).__name__}: {bad}") from None
+        raise SnapshotError(f"{type(bad).__name__}: {bad}") from None
     for name, value in learned.items():
         setattr(gateway, name, value)
     for name, values in lists.items():
@@ -111,23 +112,23 @@
             server.ill = ill
 
 
-def _customer(gateway: Gateway, one: Any, now: float) -> Account:
+def _parse_account(gateway: Gateway, one: Any, now: float) -> Account:
     who, plan, spread, parts, window, values, flags = one
     if not 0 <= plan < len(gateway.s.plans) or not (spread >= 1 and parts >= 1):
-        raise Unusable("a customer out of range")
+        raise SnapshotError("a customer out of range")
     request = i.Request(0, 0, plan, int(who), 1.0, account_gateways=int(spread), account_workers=int(parts))
     c = Account(request, gateway.s.plans[plan], now, 0.0)
-    for name, value in zip(CUSTOMER, numbers(values, len(CUSTOMER)), strict=True):
+    for name, value in zip(ACCOUNT_FIELDS, parse_numbers(values, len(ACCOUNT_FIELDS)), strict=True):
         setattr(c, name, value)
     c.window, (c.prev_known, c.stale) = int(window), (bool(f) for f in flags)
     return c
 
 
-def _server(one: Any) -> tuple[int, float, list[float], dict[int, list[float]]]:
+def _parse_server(one: Any) -> tuple[int, float, list[float], dict[int, list[float]]]:
     key, started, values, ill = one
     return (
         int(key),
-        number(started),
-        numbers(values, len(SERVER)),
-        {int(entry[0]): numbers(entry[1:], 3) for entry in ill},
+        parse_number(started),
+        parse_numbers(values, len(SERVER_FIELDS)),
+        {int(entry[0]): parse_numbers(entry[1:], 3) for entry in ill},
     )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -111,17 +111,17 @@
             old.finish(i.End.ERROR if n == 7 else i.End.OK)
     old.gateway.ask = 0.4
     new = GatewayRig(settings(), servers=3, seed=2)
-    told = json.loads(json.dumps(snapshot.take(old.gateway)))
-    snapshot.give(new.gateway, told, old.now)
-    assert snapshot.take(new.gateway) == told and new.gateway.ask == 0.4
+    told = json.loads(json.dumps(snapshot.export_state(old.gateway)))
+    snapshot.import_state(new.gateway, told, old.now)
+    assert snapshot.export_state(new.gateway) == told and new.gateway.ask == 0.4
     assert new.gateway.customers[1].deficit > 0
     spoils: list[dict[str, object]] = [{"plans": 9}, {"customers": [[1]]}, {"learned": {}}, {"servers": 3}]
     for spoil in spoils:
         fresh = GatewayRig(settings(), servers=3)
-        before = snapshot.take(fresh.gateway)
-        with pytest.raises(snapshot.Unusable):
-            snapshot.give(fresh.gateway, {**told, **spoil}, old.now)
-        assert snapshot.take(fresh.gateway) == before
+        before = snapshot.export_state(fresh.gateway)
+        with pytest.raises(snapshot.SnapshotError):
+            snapshot.import_state(fresh.gateway, {**told, **spoil}, old.now)
+        assert snapshot.export_state(fresh.gateway) == before
 
 
 @given(st.integers(0, 400), st.binary(max_size=4))
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -23,7 +23,7 @@
 from opalgauge.replica.messages import Message
 from opalgauge.replica.store import GRACE, MOST_BANS, Kind, Store
 from starlinggap import interface as i
-from starlinggap.snapshot import eject, ejections
+from starlinggap.snapshot import active_ejections, adopt_ejection
 from tests.gateway_rig import GatewayRig, settings
 
 T0 = datetime(2026, 12, 1, tzinfo=UTC)
@@ -329,18 +329,18 @@
 def test_an_ejection_of_others_is_taken_over_for_that_start_of_the_node_and_ends() -> None:
     rig = GatewayRig(settings(), servers=3)
     gateway = rig.gateway
-    eject(gateway, 1, 0.0, 0, 100.0, 5.0)  # no longer than the decisions eject themselves
-    assert ejections(gateway, 5.0) == [(1, 0.0, 0, 13.0)] and ejections(gateway, 13.0) == []
-    eject(gateway, 2, 77.0, 0, 100.0, 5.0)  # of another start
-    eject(gateway, 3, 0.0, 9, 100.0, 5.0)  # of no such kind
-    eject(gateway, 9, 0.0, 0, 100.0, 5.0)  # of no listed node
-    assert len(ejections(gateway, 5.0)) == 1
+    adopt_ejection(gateway, 1, 0.0, 0, 100.0, 5.0)  # no longer than the decisions eject themselves
+    assert active_ejections(gateway, 5.0) == [(1, 0.0, 0, 13.0)] and active_ejections(gateway, 13.0) == []
+    adopt_ejection(gateway, 2, 77.0, 0, 100.0, 5.0)  # of another start
+    adopt_ejection(gateway, 3, 0.0, 9, 100.0, 5.0)  # of no such kind
+    adopt_ejection(gateway, 9, 0.0, 0, 100.0, 5.0)  # of no listed node
+    assert len(active_ejections(gateway, 5.0)) == 1
     rig.now = 6.0
     for _ in range(12):
         rig.ask()
         assert rig.sends[-1].server != 1
     gateway.learn(gateway.servers[1], i.Outcome(1, 0, 1, i.End.OK, 0.1), None)
-    assert ejections(gateway, 6.0) == []
+    assert active_ejections(gateway, 6.0) == []
 
 
 # --- fleets in virtual time --------------------------------------------------------------------------------
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -264,7 +264,7 @@
     new.handle(
         world.now, [i.ServerList(i.ListKind.COMPLETE, lines), *(i.BanChanged(n, True) for n in world.out[0])]
     )
-    snapshot.give(new, json.loads(json.dumps(snapshot.take(world.gates[0]))), world.now)
+    snapshot.import_state(new, json.loads(json.dumps(snapshot.export_state(world.gates[0]))), world.now)
     world.gates.append(new)
     world.told.append(dict(world.told[0]))
     world.out.append(set(world.out[0]))
