--- a/opalgauge/cores/watch.py
+++ b/opalgauge/cores/state_machine.py
@@ -11,7 +11,7 @@
 from datetime import datetime, timedelta
 from enum import Enum
 
-from opalgauge.cores.shares import Balance, Load, Roster
+from opalgauge.cores.ownership import Balance, Load, Roster
 
 STEADY = timedelta(seconds=30)  # a life that served so long was no part of a crash loop
 LOOP = 3  # ends in a row that are told as one
--- a/opalgauge/cores/guardian.py
+++ b/opalgauge/cores/supervisor.py
@@ -21,11 +21,11 @@
 
 import uvloop
 
+from opalgauge.cores import messages as sp
 from opalgauge.cores import sockets
-from opalgauge.cores import speech as sp
-from opalgauge.cores import watch as w
-from opalgauge.cores.board import Board
-from opalgauge.cores.shares import Load
+from opalgauge.cores import state_machine as w
+from opalgauge.cores.ownership import Load
+from opalgauge.cores.shared_table import Board
 from opalgauge.cores.takeover import Course, Mark, course, settled
 from opalgauge.lifecycle.clock import Clock
 from opalgauge.lifecycle.config import Config, ConfigError, make_config
--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -25,10 +25,10 @@
 import uvloop
 from aiohttp.web_protocol import RequestHandler
 
+from opalgauge.cores import messages as sp
 from opalgauge.cores import sockets
-from opalgauge.cores import speech as sp
-from opalgauge.cores.board import Board, id_hash
-from opalgauge.cores.shares import Roster, Shares
+from opalgauge.cores.ownership import Roster, Shares
+from opalgauge.cores.shared_table import Board, id_hash
 from opalgauge.cores.takeover import UNSURE
 from opalgauge.lifecycle.clock import Clock
 from opalgauge.lifecycle.config import Config, make_config
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -249,9 +249,9 @@
         config = make_config(reading.told, reading.environ)
         log = make_log(reading.log_form, ingress=config.name)
         if reading.workers > 1:
-            from opalgauge.cores import guardian  # not loaded where one core serves
+            from opalgauge.cores import supervisor  # not loaded where one core serves
 
-            return guardian.run(reading, source, log)
+            return supervisor.run(reading, source, log)
         uvloop.run(serve(config, source, log))
     except (ConfigError, OSError) as bad:
         log(f"cannot start: {bad}")
--- a/tests/cores_harness.py
+++ b/tests/cores_harness.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from opalgauge.cores.shares import Roster, owners
+from opalgauge.cores.ownership import Roster, owners
 from tests import harness
 
 WORKERS = 3
--- a/tests/test_cores_pure.py
+++ b/tests/test_cores_pure.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from opalgauge.cores import watch as w
-from opalgauge.cores.board import BUCKETS, WAYS, Board, id_hash
-from opalgauge.cores.shares import Balance, Load, Roster, Shares, owners
+from opalgauge.cores import state_machine as w
+from opalgauge.cores.ownership import Balance, Load, Roster, Shares, owners
+from opalgauge.cores.shared_table import BUCKETS, WAYS, Board, id_hash
 from opalgauge.cores.takeover import UNSURE, Course, Kernel, Mark, course, settled
 from starlinggap import Gateway
 from starlinggap import interface as i
--- a/tests/test_cores_guardian.py
+++ b/tests/test_cores_supervisor.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from opalgauge.cores.guardian import Client, Guardian
 from opalgauge.cores.sockets import kernel
+from opalgauge.cores.supervisor import Client, Guardian
 from opalgauge.lifecycle.config import make_config
 from opalgauge.lifecycle.settings import as_told
 from opalgauge.lifecycle.sources import PlatformSource, Reading
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -27,7 +27,7 @@
     "zones": ({"channel"}, {"wire"}),
     "leases": ({"channel"}, {"wire"}),
     "replica": ({"channel"}, {"wire"}),
-    "cores": ({"guardian", "worker", "__main__"}, {"wire", "lifecycle"}),
+    "cores": ({"supervisor", "worker", "__main__"}, {"wire", "lifecycle"}),
     "lab": ({"skewed"}, {"cli"}),  # it is the command line, with a clock that is wrong
 }
 
