--- a/opalgauge/cores/ownership.py
+++ b/opalgauge/cores/ownership.py
@@ -74,7 +74,7 @@
             del self.history[0]
         self.owners_by_account.clear()
         self.owned_since.clear()
-        self.recently_split = any(membership.split for membership, _ in self.history)
+        self.recently_split = any(past.split for past, _ in self.history)
         return True
 
     @property
--- a/tests/test_cores_kill.py
+++ b/tests/test_cores_kill.py
@@ -14,7 +14,7 @@
 KILL_AFTER = 3.7  # s: its longest deadline is 30 s, and counts as 3 s
 
 
-@pytest.mark.parametrize("loses_a_worker", [False, True])
+@pytest.mark.parametrize("worker_lost", [False, True])
 def test_every_request_at_every_worker_is_answered_before_sigkill(worker_lost: bool) -> None:
     async def scene() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_cores_pure.py
+++ b/tests/test_cores_pure.py
@@ -448,7 +448,7 @@
     )
 
 
-@pytest.mark.parametrize("seats", [1, 8])
+@pytest.mark.parametrize("workers", [1, 8])
 def test_what_one_process_writes_to_the_table_another_reads(workers: int) -> None:
     import os
 
--- a/tests/test_cores_scenes.py
+++ b/tests/test_cores_scenes.py
@@ -91,7 +91,7 @@
     run_scene(scene)
 
 
-@pytest.mark.parametrize("how", [STOP, KILL])
+@pytest.mark.parametrize("signal_number", [STOP, KILL])
 def test_request_of_a_lost_holder_still_gets_its_owners_answer(signal_number: int) -> None:
     async def scene(ingress: IngressProcess, seen: harness.Seen, server: StandInServer) -> None:
         client = await ingress.client()  # held by seat 0
@@ -106,7 +106,7 @@
     run_scene(scene)
 
 
-@pytest.mark.parametrize("how", [STOP, KILL])
+@pytest.mark.parametrize("signal_number", [STOP, KILL])
 def test_idle_connections_move_to_another_worker(signal_number: int) -> None:
     async def scene(ingress: IngressProcess, seen: harness.Seen, _: StandInServer) -> None:
         client = await ingress.client()
