--- /dev/null
+++ b/opalgauge/cores/supervisor.py
@@ -0,0 +1,492 @@
+"""The guardian: takes clients' connections in, deals them to the workers, and keeps each one answerable.
+
+It keeps a descriptor of every connection that it deals. When a worker ends, or stalls and is killed, what was
+owed on its connections is settled from here by `takeover.course`. What it does about workers `watch` decides.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import os
+import resource
+import signal
+import socket
+import sys
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from datetime import datetime, timedelta
+from typing import Any
+
+import uvloop
+
+from opalgauge.cores import messages, sockets, state_machine
+from opalgauge.cores.ownership import WorkerLoad
+from opalgauge.cores.shared_table import SharedTable
+from opalgauge.cores.takeover import ConnectionRecord, Disposition, choose_disposition, unowned_disposition
+from opalgauge.lifecycle.clock import Clock
+from opalgauge.lifecycle.config import Config, ConfigError, make_config
+from opalgauge.lifecycle.logs import Log
+from opalgauge.lifecycle.reload import reread
+from opalgauge.lifecycle.sources import Reading, Source, told_again
+from opalgauge.memory.drain import EXIT_MARGIN, DrainSchedule, kill_after
+from opalgauge.wire.listener import Acceptor, bind
+
+TICK_INTERVAL = 0.025  # s between looks at the beats
+LOAD_INTERVAL = 1.0  # s between weighings of the accounts
+BACKLOG = 512
+ASSIGN_TRIES, ASSIGN_PAUSE = 40, 0.01  # tries to deal a connection, and s between them
+# s that a client has to ask again on a connection whose worker ended just after its answer
+NEXT_REQUEST_WAIT = 1.0
+MAX_EARLY_ANSWERS = 4096  # answers kept for connections that are about to be taken over
+RETRY_AFTER_MS = 200  # a client that is refused here finds another worker by then
+
+
+@dataclass(slots=True)
+class Client:
+    """A client's connection: our descriptor of it, and which life of which worker has it."""
+
+    sock: socket.socket
+    worker: int
+    generation: int
+    awaited: ConnectionRecord | None = None  # its worker is gone, and another is at work on this request
+    timer: asyncio.TimerHandle | None = None
+
+
+@dataclass(slots=True)
+class WorkerProcess:
+    """A worker's process."""
+
+    number: int
+    generation: int
+    channel: messages.Channel
+    process: asyncio.subprocess.Process | None = None
+    exited: bool = False
+    connections: int = 0  # connections
+    load: WorkerLoad = field(default_factory=lambda: WorkerLoad(0))
+
+
+def settings_memfd(text: str) -> int:
+    """A descriptor of the settings: a packet could be too short for them."""
+    fd = os.memfd_create("opalgauge-settings")
+    os.write(fd, text.encode())
+    return fd
+
+
+class Supervisor:
+    """One ingress on several cores, from start to exit."""
+
+    def __init__(self, reading: Reading, config: Config, source: Source, log: Log) -> None:
+        self.reading, self.config, self.source, self.log = reading, config, source, log
+        self.loop = asyncio.get_running_loop()
+        self.clock = Clock()
+        self.kill_after = kill_after(config.house.settings.classes)  # from SIGTERM to SIGKILL, at least
+        self.answer_deadline: datetime | None = None  # draining: every request has its answer then
+        self.machine = state_machine.StateMachine(self._supervisor_settings(reading))
+        self.slots = max(16, config.house.most_clients // 2)
+        self.free_slots = list(range(self.slots - 1, -1, -1))
+        self.clients: dict[int, Client] = {}
+        self.table = SharedTable(reading.workers, self.slots)
+        self.workers: dict[int, WorkerProcess] = {}
+        self.early_answers: dict[tuple[int, int], messages.OrphanAnswer] = {}
+        # What each worker still holds for a life that is no more: by that life, by who tells it.
+        self.held_orphans: dict[tuple[int, int], dict[int, set[tuple[int, int]]]] = {}
+        self.listener: socket.socket | None = None
+        self.acceptor: Acceptor | None = None
+        self.exit_status: asyncio.Future[int] = self.loop.create_future()
+        self.draining = False
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.membership: messages.MembershipUpdate | None = None
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            state_machine.SpawnWorker: self._spawn,
+            state_machine.KillWorker: self._kill,
+            state_machine.TakeOverConnections: self._take_over,
+            state_machine.LinkWorker: self._link,
+            state_machine.PublishMembership: self._publish,
+            state_machine.StartAccepting: self._start_accepting,
+            state_machine.StopAccepting: self._stop_accepting,
+            state_machine.BroadcastDrain: lambda _: self._broadcast(messages.Drain()),
+            state_machine.BroadcastLeave: lambda _: self._broadcast(messages.Leave()),
+            state_machine.Exit: self._exit,
+            state_machine.LogLine: lambda e: self.log(e.text),
+        }
+
+    def _supervisor_settings(self, reading: Reading) -> state_machine.SupervisorSettings:
+        return state_machine.SupervisorSettings(
+            reading.workers, reading.stall_after, reading.restart_pause, reading.restart_pause_most,
+            drain_timeout=self.kill_after - EXIT_MARGIN,
+        )  # fmt: skip
+
+    def step(self, event: state_machine.Event) -> None:
+        self._perform(self.machine.step(event, self.clock.now()))
+
+    def _perform(self, effects: list[state_machine.Effect]) -> None:
+        for effect in effects:
+            self.handlers[type(effect)](effect)
+
+    async def serve(self) -> int:
+        """Serves until it is asked to stop; the exit status."""
+        self.listener = bind(*self.config.listen)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(number, self._drain)
+        self.loop.add_signal_handler(signal.SIGHUP, self._reload)
+        self._perform(self.machine.start(self.clock.now()))
+        self._tick()
+        self._report_loads()
+        code = await self.exit_status
+        if self.tasks:
+            await asyncio.wait(set(self.tasks), timeout=2)
+        return code
+
+    def _tick(self) -> None:
+        mono, now = time.monotonic_ns(), self.clock.now()
+        heartbeats = {
+            worker: now - timedelta(microseconds=(mono - heartbeat) // 1000)
+            for worker, heartbeat in enumerate(self.table.heartbeats())
+            if heartbeat
+        }
+        self.step(state_machine.Tick(heartbeats))
+        if not self.exit_status.done():
+            self.loop.call_later(TICK_INTERVAL, self._tick)
+
+    def _report_loads(self) -> None:
+        self.step(
+            state_machine.LoadsReported(
+                {number: worker.load for number, worker in self.workers.items() if not worker.exited}
+            )
+        )
+        for worker in self.workers.values():
+            worker.load = WorkerLoad(0)
+        if not self.exit_status.done():
+            self.loop.call_later(LOAD_INTERVAL, self._report_loads)
+
+    def _drain(self) -> None:
+        if not self.draining:
+            self.draining = True
+            schedule = DrainSchedule.begun(self.clock.now(), self.kill_after, successor=False)
+            self.answer_deadline = schedule.answer_all
+        self.step(state_machine.DrainRequested())
+
+    def _reload(self) -> None:
+        def apply(reading: Reading) -> None:
+            self.reading = reading
+            self.step(state_machine.SettingsChanged(self._supervisor_settings(reading)))
+            for worker in self.workers.values():
+                self._send_with_settings(worker, messages.Reload(dict(reading.environ)))
+            if reading.changed:
+                self.log(f"reload: {reading.changed}")
+
+        reread(self.source, apply, self.log)
+
+    def _broadcast(self, message: messages.Message) -> None:
+        for worker in self.workers.values():
+            worker.channel.send(message)
+
+    def _exit(self, effect: state_machine.Exit) -> None:
+        for worker in self.workers.values():
+            if worker.process is not None and not worker.exited:
+                with contextlib.suppress(ProcessLookupError):
+                    worker.process.kill()
+        if not self.exit_status.done():
+            self.exit_status.set_result(effect.code)
+
+    # --- workers -------------------------------------------------------------------------------------------
+    def _spawn(self, effect: state_machine.SpawnWorker) -> None:
+        ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        channel = messages.Channel(ours, messages.ToSupervisor, lambda m, _: None, lambda: None)
+        worker = WorkerProcess(effect.worker, effect.generation, channel)
+        channel.on_message = lambda message, _: self._on_message(worker, message)
+        self.workers[effect.worker] = worker
+        task = self.loop.create_task(self._run(worker, theirs))
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def _run(self, worker: WorkerProcess, theirs: socket.socket) -> None:
+        reason = "could not be started"
+        try:
+            fds = theirs.fileno(), self.table.fd
+            os.set_inheritable(fds[0], True)
+            worker.process = await asyncio.create_subprocess_exec(
+                sys.executable, "-m", "opalgauge.cores", *map(str, fds), str(self.table.workers),
+                f"seat={worker.number}",
+                pass_fds=fds, stdin=asyncio.subprocess.DEVNULL,
+            )  # fmt: skip
+            theirs.close()
+            start = messages.Start(
+                worker.number, worker.generation, self.table.workers, self.slots,
+                self.reading.stall_after // timedelta(microseconds=1) * 1000, dict(self.reading.environ),
+                self.reading.log_form, self.draining,
+            )  # fmt: skip
+            self._send_with_settings(worker, start)
+            status = await worker.process.wait()
+            reason = f"signal {-status}" if status < 0 else f"exit {status}"
+        except OSError as bad:
+            reason = str(bad)
+        finally:
+            theirs.close()
+        worker.channel.read_remaining()
+        worker.channel.close()
+        worker.exited = True
+        if not self.exit_status.done():
+            self.step(state_machine.WorkerExited(worker.number, worker.generation, reason))
+
+    def _send_with_settings(self, worker: WorkerProcess, message: messages.Message) -> None:
+        fd = settings_memfd(told_again(self.reading))
+        try:
+            if not worker.channel.send(message, fd) and not worker.exited:
+                # Guards against a worker on old settings: one that does not read is replaced soon, and its
+                # next life starts with the new ones.
+                self.loop.call_later(0.05, self._resend_settings, worker, message)
+        finally:
+            os.close(fd)
+
+    def _resend_settings(self, worker: WorkerProcess, message: messages.Message) -> None:
+        if not worker.exited and self.workers.get(worker.number) is worker:
+            self._send_with_settings(worker, message)
+
+    def _kill(self, effect: state_machine.KillWorker) -> None:
+        self.table.fence(effect.worker, effect.generation)
+        worker = self.workers.get(effect.worker)
+        if (
+            worker is not None
+            and worker.generation == effect.generation
+            and worker.process is not None
+            and not worker.exited
+        ):
+            with contextlib.suppress(ProcessLookupError):
+                worker.process.kill()
+
+    def _link(self, effect: state_machine.LinkWorker) -> None:
+        """Links a worker that serves now with those that do already."""
+        worker = self.workers[effect.worker]
+        for number in effect.serving:
+            other = self.workers.get(number)
+            if other is None or other.exited:
+                continue
+            own_end, other_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
+            with own_end, other_end:
+                worker.channel.send(messages.OpenLink(number, other.generation), own_end.fileno())
+                other.channel.send(messages.OpenLink(effect.worker, worker.generation), other_end.fileno())
+        if self.membership is not None:
+            worker.channel.send(self.membership)
+        if self.draining:
+            worker.channel.send(messages.Drain())
+
+    def _publish(self, effect: state_machine.PublishMembership) -> None:
+        membership = effect.membership
+        self.membership = messages.MembershipUpdate(
+            membership.version, list(membership.members), dict(membership.split), membership.initial
+        )
+        self._broadcast(self.membership)
+
+    def _on_message(self, worker: WorkerProcess, message: Any) -> None:
+        if isinstance(message, messages.ConnectionClosed):
+            client = self.clients.get(message.slot)
+            if client is not None and (client.worker, client.generation) == (
+                worker.number,
+                worker.generation,
+            ):
+                self._release(message.slot)
+        elif isinstance(message, messages.ReportReady):
+            self.step(state_machine.WorkerReady(worker.number, worker.generation))
+        elif isinstance(message, messages.ReportLoad):
+            load = WorkerLoad(worker.load.total + message.total, [*worker.load.busiest, *message.busiest])
+            worker.load = load
+        elif isinstance(message, messages.ReportDrained):
+            self.step(state_machine.WorkerDrained(worker.number, worker.generation))
+        elif isinstance(message, messages.OrphanAnswer):
+            self._on_orphan_answer(message)
+        elif isinstance(message, messages.OrphansHeld):
+            held = {(slot, sequence) for slot, sequence in message.held}
+            self.held_orphans.setdefault((message.worker, message.generation), {})[worker.number] = held
+            for slot, client in list(self.clients.items()):
+                record = client.awaited
+                if record and (client.worker, client.generation) == (message.worker, message.generation):
+                    if record.owner == worker.number and (slot, record.sequence) not in held:
+                        self._settle_orphan(slot)
+            while len(self.held_orphans) > 4 * len(self.workers):
+                del self.held_orphans[next(iter(self.held_orphans))]
+
+    # --- clients -------------------------------------------------------------------------------------------
+    def _start_accepting(self, _: state_machine.StartAccepting) -> None:
+        assert self.listener is not None
+        try:
+            self.listener.listen(BACKLOG)
+        except OSError as bad:
+            # Guards against another program that took the address while the workers came up.
+            self.log(f"cannot start: {bad}")
+            self._exit(state_machine.Exit(2))
+            return
+        self.acceptor = Acceptor(self.listener, self._accepted)
+        host, port = self.config.listen
+        known = len(self.config.house.known)
+        workers = self.table.workers
+        self.log(f"ready: {self.config.name} on {host}:{port}, {known} stock nodes known, {workers} workers")
+
+    def _stop_accepting(self, _: state_machine.StopAccepting) -> None:
+        if self.acceptor is not None:
+            self.acceptor.close_when_empty()
+        self._broadcast(messages.AcceptingStopped())
+
+    def _accepted(self, sock: socket.socket, _: float) -> None:
+        with contextlib.suppress(OSError):
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        if not self.free_slots:
+            sock.close()  # the workers make room as they would alone; here every place is taken
+            return
+        self._assign(self.free_slots.pop(), Client(sock, -1, 0), 0)
+
+    def _assign(self, slot: int, client: Client, consumed: int, tries: int = ASSIGN_TRIES) -> None:
+        """Gives a connection, between two requests, to the worker that holds the fewest."""
+        self.clients[slot] = client
+        client.awaited = None
+        self.table.reset_connection(slot, consumed)
+        serving = [self.workers[number] for number in self.machine.serving if not self.workers[number].exited]
+        for worker in sorted(serving, key=lambda worker: (worker.connections, worker.number)):
+            if worker.channel.send(messages.AssignConnection(slot, consumed), client.sock.fileno()):
+                client.worker, client.generation = worker.number, worker.generation
+                worker.connections += 1
+                return
+        client.worker, client.generation = -1, 0
+        if tries > 1:
+            # Guards against a burst, as after a worker's end, that fills the channel of the one that is left.
+            self.loop.call_later(ASSIGN_PAUSE, self._assign, slot, client, consumed, tries - 1)
+        else:
+            self._dismiss(slot, client)
+
+    def _release(self, slot: int) -> None:
+        """The connection has ended at its worker: our descriptor of it is the last."""
+        client = self.clients.pop(slot)
+        if client.timer is not None:
+            client.timer.cancel()
+        self._uncount(client)
+        client.sock.close()
+        self.free_slots.append(slot)
+
+    def _uncount(self, client: Client) -> None:
+        worker = self.workers.get(client.worker)
+        if worker is not None and worker.generation == client.generation:
+            worker.connections -= 1
+
+    def _send_final(self, slot: int, data: bytes) -> None:
+        """The last answer on a connection. Its place stays taken until it is closed."""
+        client = self.clients.pop(slot)
+        if client.timer is not None:
+            client.timer.cancel()
+        self._uncount(client)
+        # The loop holds on to it until it is closed, which may be at once.
+        sockets.FinalAnswer(client.sock, data, lambda: self.free_slots.append(slot))
+
+    def _refuse(self, slot: int) -> None:
+        self._send_final(slot, sockets.answer_bytes(503, retry_ms=RETRY_AFTER_MS))
+
+    def _dismiss(self, slot: int, client: Client) -> None:
+        """Nobody takes the connection: what it has just asked is refused, and a quiet one closed."""
+        if sockets.bytes_unread(client.sock):
+            self._refuse(slot)
+        else:
+            self._send_final(slot, b"")
+
+    # --- what a worker left behind -------------------------------------------------------------------------
+    def _take_over(self, effect: state_machine.TakeOverConnections) -> None:
+        self.table.clear_worker(effect.worker)
+        for slot, client in list(self.clients.items()):
+            if client.awaited is not None:
+                if client.awaited.owner == effect.worker:
+                    self._settle_orphan(slot)
+            elif (client.worker, client.generation) == (effect.worker, effect.generation):
+                self._take_over_connection(slot, client, effect.lost)
+
+    def _take_over_connection(self, slot: int, client: Client, lost: frozenset[int]) -> None:
+        record = self.table.connection_record(slot)
+        disposition = choose_disposition(record, sockets.socket_progress(client.sock), lost)
+        if disposition is Disposition.REASSIGN:
+            self._reassign(slot, client)
+        elif disposition is Disposition.AWAIT_NEXT_REQUEST:
+            self.loop.add_reader(client.sock.fileno(), self._on_next_request, slot)
+            client.timer = self.loop.call_later(NEXT_REQUEST_WAIT, self._on_next_request, slot)
+        elif disposition is Disposition.AWAIT_OWNER:
+            client.awaited = record
+            wait = (record.deadline_ns - time.monotonic_ns()) / 1e9 - 0.01
+            if self.answer_deadline is not None:
+                wait = min(wait, (self.answer_deadline - self.clock.now()).total_seconds())
+            client.timer = self.loop.call_later(max(0.0, wait), self._settle_orphan, slot, 504)
+            held = self.held_orphans.get((client.worker, client.generation), {}).get(record.owner)
+            if answer := self.early_answers.pop((slot, record.sequence), None):
+                self._on_orphan_answer(answer)
+            elif held is not None and (slot, record.sequence) not in held:
+                self._settle_orphan(slot)
+        elif disposition is Disposition.FAIL:
+            self._send_final(slot, sockets.answer_bytes(502))
+        elif disposition is Disposition.REFUSE:
+            self._refuse(slot)
+        else:
+            self._send_final(slot, b"")
+
+    def _reassign(self, slot: int, client: Client) -> None:
+        """A connection of a life that has ended, between two requests."""
+        if self.draining:
+            self._dismiss(slot, client)
+        else:
+            self._uncount(client)
+            self._assign(slot, client, sockets.socket_progress(client.sock).consumed)
+
+    def _on_next_request(self, slot: int) -> None:
+        """A connection that was left with its answer has asked again, has ended, or was quiet for long."""
+        client = self.clients[slot]
+        self.loop.remove_reader(client.sock.fileno())
+        if client.timer is not None:
+            client.timer.cancel()
+            client.timer = None
+        if sockets.bytes_unread(client.sock):
+            self._reassign(slot, client)
+        else:
+            self._send_final(slot, b"")
+
+    def _settle_orphan(self, slot: int, status_if_attempted: int = 502) -> None:
+        """Nobody is at work on it any more, or its time is up."""
+        client = self.clients.get(slot)
+        if client is None or client.awaited is None:
+            return
+        # What its owner began since its holder ended stands on the board, not in the mark that was read then.
+        record = self.table.connection_record(slot)
+        if unowned_disposition(record) is Disposition.FAIL:
+            self._send_final(slot, sockets.answer_bytes(status_if_attempted))
+        else:
+            self._refuse(slot)
+
+    def _on_orphan_answer(self, answer: messages.OrphanAnswer) -> None:
+        client = self.clients.get(answer.slot)
+        if client is None:
+            return
+        if client.awaited is None:
+            # Its worker's end has yet to be heard of here, or the answer had arrived there.
+            self.early_answers[answer.slot, answer.sequence] = answer
+            while len(self.early_answers) > MAX_EARLY_ANSWERS:
+                del self.early_answers[next(iter(self.early_answers))]
+        elif client.awaited.sequence == answer.sequence:
+            self._send_final(
+                answer.slot,
+                sockets.answer_bytes(answer.status, answer.body, answer.content_type, answer.retry_ms),
+            )
+
+
+def raise_descriptor_limit() -> None:
+    """As many descriptors as the system allows: the settings say how many of them are used."""
+    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    with contextlib.suppress(ValueError, OSError):
+        resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
+
+
+async def serve(reading: Reading, config: Config, source: Source, log: Log) -> int:
+    return await Supervisor(reading, config, source, log).serve()
+
+
+def run(reading: Reading, source: Source, log: Log) -> int:
+    """Serves on several cores until asked to stop. Raises ConfigError and OSError where it cannot start."""
+    config = make_config(reading.told, reading.environ)
+    if config.house.most_clients < 2 * reading.workers * 8:
+        raise ConfigError(f"sockets are too few for {reading.workers} workers")
+    raise_descriptor_limit()
+    return uvloop.run(serve(reading, config, source, log))
