--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -15,10 +15,28 @@
 from starlinggap.quota import Account
 
 MOST = 5000  # customers, those seen last
-# What the gateway itself has learned, of the counter, of load and of the usual times.
-LEARNED = ("born", "stake", "ask", "ask_at", "best", "trial_at", "cut_at", "forgot_at", "retries", "answered",
-           "took", "late", "missed", "shed", "ended_at", "pace", "unanswered")  # fmt: skip
-LISTS = ("let_in", "usual", "tried", "lost")
+# What the gateway itself has learned, of the counter, of load and of the usual times: the record's key and
+# the attribute that it holds.
+LEARNED = {
+    "born": "born",
+    "stake": "stake",
+    "ask": "ask",
+    "ask_at": "ask_at",
+    "best": "best",
+    "trial_at": "trial_at",
+    "cut_at": "cut_at",
+    "forgot_at": "forgot_at",
+    "retries": "retries",
+    "answered": "answered",
+    "took": "took",
+    "late": "late",
+    "missed": "missed",
+    "shed": "shed",
+    "ended_at": "ended_at",
+    "pace": "pace",
+    "unanswered": "unanswered",
+}
+LISTS = {"let_in": "let_in", "usual": "usual", "tried": "tried", "lost": "lost"}
 CUSTOMER = ("total", "own", "lost", "prev", "deficit", "others", "withheld", "at", "told", "denied", "seen",
             "asked", "let_in", "heard", "room")  # fmt: skip
 FLAGS = ("prev_known", "stale")
@@ -35,8 +53,8 @@
     return {
         "kinds": len(gateway.s.classes),
         "plans": len(plans),
-        "learned": {name: getattr(gateway, name) for name in LEARNED},
-        "lists": {name: list(getattr(gateway, name)) for name in LISTS},
+        "learned": {key: getattr(gateway, name) for key, name in LEARNED.items()},
+        "lists": {key: list(getattr(gateway, name)) for key, name in LISTS.items()},
         "quick": gateway.quick,
         "servers": [
             [key, server.entry.started, [getattr(server, name) for name in SERVER],
@@ -88,8 +106,10 @@
     try:
         if told["kinds"] != len(gateway.s.classes) or told["plans"] != len(gateway.s.plans):
             raise Unusable("of other settings")
-        learned = {name: number(told["learned"][name]) for name in LEARNED}
-        lists = {name: numbers(told["lists"][name], len(getattr(gateway, name))) for name in LISTS}
+        learned = {name: number(told["learned"][key]) for key, name in LEARNED.items()}
+        lists = {
+            name: numbers(told["lists"][key], len(getattr(gateway, name))) for key, name in LISTS.items()
+        }
         quick = bool(told["quick"])
         known = [_customer(gateway, one, now) for one in told["customers"]]
         servers = [_server(one) for one in told["servers"]]
