--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -17,44 +17,45 @@
 from starlinggap.slow_start import SlowStart
 
 # --- constants: each is a share of something the settings give, or a plain habit of the field -------------
-OWN_TIMEOUT = 0.6  # of the counter's time-out: a healthy answer takes a tenth of it, and a client waits
-WHOLE, WORTH_WAITING = 0.95, 0.035  # of it, and of the aim: so long a wait for a crowded one does no harm
-QUICK = 0.3  # of the counter's time-out: answers sooner, or in twice the least time, say it has room for more
-ASK_UP, ASK_CUT = 0.03, 0.7  # what asks grows by a quick answer; is left after one missed
-ASK_RISE = 0.2  # what it grows a second while the newest was quick: one gateway of many has few answers
-ASK_SLOW = 0.95  # is left after one slow: its line grows, and calls that nobody waits for would fill it
-ASK_AGAIN = 0.25  # the least that asks after a quick answer: a counter that is back is not left unused
-STAKE_LEAST = 0.3  # of that share is asked for by what is worth next to nothing
-TRIAL = 3.0  # s, half to one and a half by chance: a counter that is not asked is read so often
-FLUSH = 0.25  # of a window: a debt to the counter waits this long for a call to ride on
-GLANCE, LULL = 0.05, 0.25  # s between housekeeping rounds, with requests held and without
-RECENT = 0.1  # weight of the newest outcome in a running mean: about the last ten count
+OWN_TIMEOUT = 0.6  # of counter_timeout: a healthy answer takes a tenth of it, and a client is waiting
+# A counter that is merely busy may be waited for longer, if the wait stays below both of these.
+WHOLE, WORTH_WAITING = 0.95, 0.035  # of counter_timeout; of the class's aim
+QUICK = 0.3  # of counter_timeout: quicker answers, or any within twice the least time, show room
+ASK_UP, ASK_CUT = 0.03, 0.7  # added by a quick answer; factor after a failed call
+ASK_RISE = 0.2  # added per second while the newest is quick: one gateway of many has few answers
+ASK_SLOW = 0.95  # factor after a slow answer: more calls would lengthen its queue in vain
+ASK_AGAIN = 0.25  # after a quick answer: a counter that has recovered is used again at once
+STAKE_LEAST = 0.3  # factor on ask for requests that are worth next to nothing
+TRIAL = 3.0  # s, times 0.5 to 1.5 at random: a counter that is not called is read so often
+FLUSH = 0.25  # windows that uncounted units wait for another call, and that a refusal by total stands
+GLANCE, LULL = 0.05, 0.25  # s between rounds, with requests held and without
+RECENT = 0.1  # weight of the newest value in an exponential moving average: about the last ten count
 TRUST_COLD = 0.6  # of the fall budget: chance and costly requests need some room
 PEAK = 1.5  # times its capacity: a warm server is sent no more, even before overload sheds
-MOSTLY_COLD = 0.35  # of the whole capacity: with less of it there, cold servers are sent less than their part
-DRAWN = 8  # servers drawn at most to find two that are fit
-FORGET = 10.0  # s in which what was seen of a server's speed fades; three times it for a customer's verdicts
-ILL = 0.5  # share of a class's late outcomes at a server that failed: above it the server is ejected for it
-ILL_RARE = 0.9  # and of one at a server that is met once or less in FORGET: one is enough there
-ILL_STEP = 0.3  # weight of an error there: three in a row eject, one or two are chance
+MOSTLY_COLD = 0.35  # of the whole capacity: with less of it there, cold servers get less than their part
+DRAWN = 8  # servers drawn at most to find two that can take a request
+FORGET = 10.0  # s, time constant of what is known of a server's speed; 3x that for an account's decisions
+ILL = 0.5  # failed share of a class's recent attempts at a server: above it the server is ejected
+ILL_RARE = 0.9  # of an error at a server that is tried once or less in FORGET: one is enough there
+ILL_STEP = 0.3  # of an error elsewhere: three in a row eject, one or two are chance
 EJECT_FIRST, EJECT_MOST = 0.5, 8.0  # s out after the first ejection, and at most: it doubles
-STALE = 0.1  # share lost on kept connections, over twice that on new ones, above which none is used again
+STALE = 0.1  # lost on kept connections, beyond twice that on new ones: above it none is reused
 RETRY_SHARE = 0.1  # further attempts for each request: more would feed an overload
 RETRY_DEPTH = 10.0  # further attempts that may be saved up
-FRESH = 1.5  # times the wait where a connection must be opened: it costs the server, and so all gateways
-QUEUE = 0.4  # of the aim: more is not sent to a server than it does, one after the other, in that time
-SHED_FROM, SHED_ALL = 0.3, 0.8  # of the aim: expected times between these shed more and more of the work
+FRESH = 1.5  # on the expected wait: opening one costs the server, and so all gateways
+QUEUE = 0.4  # of the aim: a server is sent no more than it works off, one by one, in that time
+SHED_FROM, SHED_ALL = 0.3, 0.8  # of the aim: expected times between these shed more and more requests
 PATIENT = 4.0  # times the usual time: an attempt given up sooner may just be slow for its client
-LATE = 0.25  # of what ended lately was late or lost: what is shed grows by what is over it, falls by under
-LATE_UP, LATE_DOWN = 0.5, 3.0  # times that, a second: what was sent before the shedding still ends late
-PACE = 3.0  # s over which work done is averaged: long for one gateway's traffic, short beside a trouble
-UNTRIED = 0.4  # of a calm outcome: what is shed counts as, so that what was seen is doubted as it ages
-CALM = 1.5  # outcomes, at half the edge of shedding, that one gateway's few outcomes are mixed with
-RANKED = 200  # requests remembered to tell what worth is low
-KEPT = 15.0  # s for which a customer not seen is remembered at least: many come only once
-HELD = 0.5  # of the aim: a request that nothing can take is held this long, then refused
-UNHEARD = (End.ERROR, End.RESET)  # a call to the counter that was added, but for the total
-BEYOND_ROOM = 0.5  # of the local ceiling, and of the aim, stays free of beyond-quota work
+LATE = 0.25  # share of recent ends late or lost: shedding grows above it, shrinks below
+LATE_UP, LATE_DOWN = 0.5, 3.0  # times that excess, per second: attempts sent before the shedding end late
+PACE = 3.0  # s, time constant of the load: long for one gateway's traffic, short beside an outage
+UNTRIED = 0.4  # calm outcomes that a shed request counts as, so that old observations fade
+CALM = 1.5  # calm outcomes, at half of SHED_FROM, that one gateway's few outcomes are mixed with
+RANKED = 200  # recent requests among which a request's worth is ranked
+KEPT = 15.0  # s for which an account not seen is kept at least: many come only once
+HELD = 0.5  # of the aim: a request that no server can take is held this long, then refused
+UNHEARD = (End.ERROR, End.RESET)  # the counter has added the units, but the total did not arrive
+BEYOND_ROOM = 0.5  # of the local ceiling, and of the aim: kept free of beyond-quota requests
 
 
 class Attempt:
@@ -87,19 +88,22 @@
 
     def __init__(self, c: Account, back: int, amount: float, ride: float, work: Work | None):
         self.customer, self.window, self.amount, self.ride = c, c.window - back, amount, ride
-        self.work, self.back, self.again = work, back > 0, False  # again: its lost total is read once more
+        self.work, self.back, self.again = work, back > 0, False  # again: to read a lost total
         self.decided: bool | None = None
 
 
 class Server:
-    """A server as this gateway sees it."""
+    """A server as this gateway sees it.
+
+    `back`: when staff gave it back, 0: never. `kept_at`: when a connection to it last worked.
+    """
 
     def __init__(self, entry: i.ServerEntry, now: float, started: float, back: float = 0.0) -> None:
-        self.entry, self.ratio, self.back = entry, 1.0, back  # when staff gave it back, 0: they never had it
+        self.entry, self.ratio, self.back = entry, 1.0, back
         self.started = started
         self.ill: dict[int, list[float]] = {}  # by class: share that failed, ejected until, for how long
         self.out: dict[tuple[int, int], float] = {}
-        self.done_at, self.kept_at, self.queue = now, -math.inf, 0.0  # kept: a connection last worked
+        self.done_at, self.kept_at, self.queue = now, -math.inf, 0.0
 
 
 class Gateway:
@@ -117,14 +121,14 @@
         self.untried: list[int] = []  # given back by staff, or on trial, and not sent to since
         self.slow_start = SlowStart(settings)
         self.shares: dict[int, float] = {}  # of zones that the fleet has left, 0, or returns to
-        self.calls, self.timers = dict[int, deque[Call]](), dict[int, Call | None]()  # None: housekeeping
-        self.token, self.stake = 0, 1.0  # the last timer's; worth and units of a request, lately
+        self.calls, self.timers = dict[int, deque[Call]](), dict[int, Call | None]()
+        self.token, self.stake = 0, 1.0  # the last timer's (without a call: housekeeping); see `asks`
         # Share of requests that ask the counter, as of when; under 1 it is pressed. Whether its newest answer
         # was quick, and the least time of one lately.
         self.ask, self.ask_at, self.quick, self.best = 1.0, 0.0, True, settings.counter_timeout
         self.trial_at = self.cut_at = self.forgot_at = -math.inf
         self.owing: dict[int, Account] = {}
-        self.let_in = [1.0, 1.0]  # share that totals let in of all customers' first tries, and of repeats
+        self.let_in = [1.0, 1.0]  # share that totals admitted lately: of first tries, of repeats
         self.usual = [c.aim / 5 for c in settings.classes]  # usual time of a class; learned
         self.retries = RETRY_DEPTH
         # Attempts judged lately, and those of them without an answer: on new connections, and on kept ones.
@@ -136,7 +140,7 @@
         self.out_count = self.out_aims = self.out_starts = 0.0
         self.answered = self.took = self.late = self.missed = self.shed = self.ended_at = 0.0
         self.sent: list[deque[Attempt]] = [deque() for _ in settings.classes]
-        self.pace, self.unanswered = SHED_FROM, 0.0  # time over aim of the last answers; share without one
+        self.pace, self.unanswered = SHED_FROM, 0.0  # time over aim of the last answers; share lost
         self.ticking, self.listed_at = False, -math.inf
         self.cold_part = min(1.0, settings.fall_multiple * TRUST_COLD / PEAK)
 
@@ -209,7 +213,7 @@
         self.customers.move_to_end(request.customer)
         c.turn(self.now)
         c.seen = self.now
-        if request.parts != c.parts:  # its part here is split anew: what was one core's is several', or back
+        if request.parts != c.parts:  # its part is split over more cores, or fewer
             c.room *= min(1.0, c.parts / request.parts)
             c.spread, c.parts = c.spread // c.parts * request.parts, request.parts
         if request.held < math.inf:  # guards its ceiling against what another core has spent, not known here
@@ -263,7 +267,7 @@
             c.debt_at = c.debt_at if c.debt else self.now
             c.debt += amount
             self.owing[c.id] = c
-            if now and c.debt * amount > 0:  # none for what was never told: guards a pressed counter
+            if now and c.debt * amount > 0:  # not for units that were never counted
                 self.post(c, 0.0, None)
 
     def call_failed(self) -> None:
@@ -295,7 +299,7 @@
             if event.took > self.s.counter_timeout * OWN_TIMEOUT:
                 self.call_failed()
             else:
-                self.best = min(event.took, self.best * 1.01)  # the way there and back, as it changes
+                self.best = min(event.took, self.best * 1.01)
                 self.quick = event.took < max(self.s.counter_timeout * QUICK, 2 * self.best)
                 self.ask = min(1.0, max(ASK_AGAIN, self.ask + ASK_UP)) if self.quick else self.ask * ASK_SLOW
             total = self.believe(c, call, max(0.0, event.total), jump)
@@ -324,7 +328,7 @@
         added = call.amount + call.ride
         if call.window == c.window:
             total += c.lost
-            if total < c.own + added - self.s.most_units:  # not even what was added from here
+            if total < c.own + added - self.s.most_units:  # less than was added here
                 self.forgot_at = self.now
             if total < c.own + added - jump / 4 or total < c.total + added - jump:
                 # The counter forgot: believe the last good total and what was added since. Holds against
@@ -332,7 +336,7 @@
                 c.lost += c.total + added - total
                 total = c.total + added
             others = max(0.0, heard := total - added - c.total)
-            c.room -= c.charged * heard / c.spread  # all bear an equal part of what totals let in
+            c.room -= c.charged * heard / c.spread  # all bear an equal part
             fade = math.exp(-min(self.now - c.told, self.now - c.window * c.length) / (2 * c.length))
             c.others = c.others * fade + others / (2 * c.length)
             c.deficit = max(0.0, c.deficit + others - c.withheld)
@@ -346,7 +350,7 @@
         """The design's test, on the total before the request's own add."""
         c = work.customer
         left, prev = max(0.0, c.window + 1 - self.now / c.length), c.prev
-        sure = self.ask >= 1 or c.plan.ceiling_rate > 0  # a ceiling rests on what totals let in
+        sure = self.ask >= 1 or c.plan.ceiling_rate > 0  # a ceiling relies on totals
         if not c.prev_known:  # a pressed counter is not read for it: use is taken to be steady
             prev = max(c.limit, c.prev) if sure else c.likely_prev(before, left)
         used = max(0.0, estimate(prev, before, left))
@@ -545,7 +549,7 @@
         """
         drawn = self.rng.sample(ready, min(DRAWN, len(ready)))
         drawn.sort(key=lambda k: self.s.cross_zone_price > 0 and self.servers[k].entry.zone != self.s.zone)
-        for back in self.untried:  # guards against a gateway of few requests that would not meet it for long
+        for back in self.untried:  # guards against a gateway of few requests that would not try it for long
             if back in ready and (work.cls.effect is Effect.SAFE or self.share(self.servers[back]) > 0):
                 return [back, *(k for k in drawn if k != back)], True
         for _ in range(DRAWN if drawn else 0):
@@ -638,7 +642,7 @@
         ages = self.now * self.out_aims - self.out_starts
         missed = self.crowded_out()
         number = self.answered + missed + self.out_count + CALM
-        strain = (self.took + 2 * missed + ages + CALM * SHED_FROM / 2) / number  # it took over its aim
+        strain = (self.took + 2 * missed + ages + CALM * SHED_FROM / 2) / number
         shed = min(0.95, self.shed + max(0.0, strain - SHED_FROM) / (SHED_ALL - SHED_FROM))
         work.shed = shed
         if shed > 0 and not work.beyond:
@@ -674,10 +678,10 @@
                     self.ends(attempt, True)
 
     def ends(self, attempt: Attempt, lost: bool | None) -> None:
-        """It is out no more, or overdue. Whether it was lost speaks of its kind of connection and of load."""
+        """Out no more, or overdue (and may come late). `lost` tells of its kind of connection, and of load."""
         if (kept := attempt.kept) is not None and lost is not None:
             self.tried[kept] += attempt.out
-            self.lost[kept] = max(0.0, self.lost[kept] + attempt.out - (not lost))  # it may yet come late
+            self.lost[kept] = max(0.0, self.lost[kept] + attempt.out - (not lost))
         if attempt.out:
             attempt.out = False
             self.out_count -= 1
@@ -789,7 +793,7 @@
         self.close(work)
 
     def give_up(self, work: Work) -> None:
-        work.shed = work.shed or 1.0  # nothing could take it: final at once, and the client told to wait
+        work.shed = work.shed or 1.0  # nothing could take it: the client is told to wait
         if not work.sent and not work.beyond:
             self.take_back(work)
             work.customer.deficit = max(0.0, work.customer.deficit - work.cost)
@@ -812,7 +816,7 @@
             c.turn(self.now)
             if not c.debt or self.now - c.debt_at > FLUSH * c.length:
                 del self.owing[c.id]
-                if c.debt and self.ask >= 1:  # a pressed counter is spared it: it rides or lapses
+                if c.debt and self.ask >= 1:  # else it waits for a call, or lapses
                     self.post(c, 0.0, None)
         while self.customers:
             c = next(iter(self.customers.values()))
--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -49,7 +49,7 @@
         self.waiting: list[Any] = []  # requests of the gateway's that wait for the last window's total
         # The told store, as far as it can be followed: units missing from it. Stale: not followed lately.
         self.deficit, self.stale = UNKNOWN * self.limit, True
-        self.others = UNKNOWN * plan.rate * (1 - 1 / self.spread)  # what others admit, units a second
+        self.others = UNKNOWN * plan.rate * (1 - 1 / self.spread)  # admitted by others, units/s
         self.asked = self.let_in = 0.0  # requests that totals judged, and let in; they fade
         self.at = self.seen = self.debt_at = self.heard = now
         self.told = self.denied = -math.inf
@@ -75,7 +75,7 @@
             self.stale = self.stale or window > self.window + 1
             self.prev = self.total if window == self.window + 1 else 0.0
             self.window, self.prev_known, self.total, self.own, self.lost = window, False, 0.0, 0.0, 0.0
-        self.debt *= now - self.debt_at <= 2 * self.length  # not what is of windows that count no more
+        self.debt *= now - self.debt_at <= 2 * self.length  # older windows count no more
         hold = min(self.others, self.plan.rate * (1 - 1 / (2 * self.spread))) * dt
         self.withheld = min(self.plan.burst, self.withheld + hold)
         self.deficit = max(0.0, self.deficit - self.plan.rate * dt + hold)
