--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -678,7 +678,7 @@
                     self.ends(attempt, True)
 
     def ends(self, attempt: Attempt, lost: bool | None) -> None:
-        """Out no more, or overdue (and may come late). `lost` tells of its kind of connection, and of load."""
+        """Out no more, or overdue (and may end late). `lost` tells of its kind of connection, and of load."""
         if (kept := attempt.kept) is not None and lost is not None:
             self.tried[kept] += attempt.out
             self.lost[kept] = max(0.0, self.lost[kept] + attempt.out - (not lost))
