--- a/tests/gateway_rig.py
+++ b/tests/gateway_rig.py
@@ -5,14 +5,13 @@
 import math
 from dataclasses import replace
 
-from starlinggap import Gateway
-from starlinggap import interface as i
+from starlinggap import Gateway, interface
 
 
-def settings(**changes: object) -> i.Settings:
-    base = i.Settings(
-        classes=(i.RequestClass(aim=0.8, deadline=2.0),),
-        plans=(i.Plan(rate=2.0, burst=8.0),),
+def settings(**changes: object) -> interface.Settings:
+    base = interface.Settings(
+        classes=(interface.RequestClass(aim=0.8, deadline=2.0),),
+        plans=(interface.Plan(rate=2.0, burst=8.0),),
         gateways=2,
         counter=True,
         counter_timeout=0.05,
@@ -21,105 +20,119 @@
     return replace(base, **changes)  # type: ignore[arg-type]
 
 
-def entry(server: int, **changes: object) -> i.ServerEntry:
-    return replace(i.ServerEntry(server, i.Health.READY), **changes)  # type: ignore[arg-type]
+def entry(server: int, **changes: object) -> interface.ServerEntry:
+    return replace(interface.ServerEntry(server, interface.Health.READY), **changes)  # type: ignore[arg-type]
 
 
 class GatewayRig:
     """Feeds one gateway, answers its counter calls and fires its timers in their order."""
 
-    def __init__(self, s: i.Settings, answering: bool = True, servers: int = 4, seed: int = 1) -> None:
-        self.gateway = Gateway(s, seed)
-        self.now, self.answering, self.next = 0.0, answering, 0
+    def __init__(
+        self, config: interface.Settings, answering: bool = True, servers: int = 4, seed: int = 1
+    ) -> None:
+        self.gateway = Gateway(config, seed)
+        self.now, self.answering, self.request_number = 0.0, answering, 0
         self.totals: dict[int, float] = {}
-        self.counts: list[i.Count] = []
-        self.calls = 0
-        self.timers: list[i.Timer] = []
-        self.sends: list[i.Send] = []
-        self.refusals: list[i.Refuse] = []
-        self.closed: list[int] = []
-        self.due: list[tuple[float, i.Outcome]] = []
-        self.state: dict[int, str] = {}
+        self.open_calls: list[interface.Count] = []
+        self.call_count = 0
+        self.timers: list[interface.Timer] = []
+        self.sends: list[interface.Send] = []
+        self.refusals: list[interface.Refuse] = []
+        self.closed_servers: list[int] = []
+        self.scheduled_ends: list[tuple[float, interface.Outcome]] = []
+        self.states: dict[int, str] = {}
         self.attempts: dict[int, int] = {}
-        self.give(i.ServerList(i.ListKind.WHOLE, tuple(entry(n) for n in range(1, servers + 1))))
-
-    def give(self, *events: i.Event) -> None:
-        todo = list(events)
-        while todo:
-            counts = []
-            for a in self.gateway.handle(self.now, todo):
-                if isinstance(a, i.Count):
-                    counts.append(a)
-                    self.calls += 1
-                elif isinstance(a, i.Timer):
-                    self.timers.append(a)
-                elif isinstance(a, i.Send):
-                    self.sends.append(a)
-                    self.state[a.request] = "sent"
-                    self.attempts[a.request] = self.attempts.get(a.request, -1) + 1
-                elif isinstance(a, i.Close):
-                    self.closed.append(a.server)
-                elif isinstance(a, i.Refuse):
-                    self.refusals.append(a)
-                    self.state[a.request] = "refused"
-                elif isinstance(a, i.Fail):
-                    self.state[a.request] = "failed"
-            self.counts.extend(counts)
-            todo = []
+        self.feed(
+            interface.ServerList(interface.ListKind.WHOLE, tuple(entry(n) for n in range(1, servers + 1)))
+        )
+
+    def feed(self, *events: interface.Event) -> None:
+        pending = list(events)
+        while pending:
+            calls = []
+            for action in self.gateway.handle(self.now, pending):
+                if isinstance(action, interface.Count):
+                    calls.append(action)
+                    self.call_count += 1
+                elif isinstance(action, interface.Timer):
+                    self.timers.append(action)
+                elif isinstance(action, interface.Send):
+                    self.sends.append(action)
+                    self.states[action.request] = "sent"
+                    self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
+                elif isinstance(action, interface.Close):
+                    self.closed_servers.append(action.server)
+                elif isinstance(action, interface.Refuse):
+                    self.refusals.append(action)
+                    self.states[action.request] = "refused"
+                elif isinstance(action, interface.Fail):
+                    self.states[action.request] = "failed"
+            self.open_calls.extend(calls)
+            pending = []
             if self.answering:
-                todo = [self.answer(c) for c in self.counts]
-                self.counts = []
+                pending = [self.answer(call) for call in self.open_calls]
+                self.open_calls = []
 
-    def answer(self, c: i.Count) -> i.Counted:
-        self.totals[c.name] = self.totals.get(c.name, 0.0) + c.amount
-        return i.Counted(c.name, 0.001, i.End.OK, self.totals[c.name])
+    def answer(self, call: interface.Count) -> interface.Counted:
+        self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
+        return interface.Counted(call.name, 0.001, interface.End.OK, self.totals[call.name])
 
     def answer_all(self, total: float | None) -> None:
         """Late answers to all calls out: true ones, or the same wrong total."""
-        counts, self.counts = self.counts, []
-        for c in counts:
-            self.give(self.answer(c) if total is None else i.Counted(c.name, 0.04, i.End.OK, total))
-
-    def at(self, now: float) -> None:
+        calls, self.open_calls = self.open_calls, []
+        for call in calls:
+            self.feed(
+                self.answer(call)
+                if total is None
+                else interface.Counted(call.name, 0.04, interface.End.OK, total)
+            )
+
+    def advance_to(self, now: float) -> None:
         """Moves on to `now`, firing what comes due and ending attempts whose time has come."""
         while True:
-            timer = min(self.timers, key=lambda t: t.at, default=i.Timer(math.inf, 0))
-            end = min(self.due, key=lambda d: d[0], default=(math.inf, None))
+            timer = min(self.timers, key=lambda t: t.at, default=interface.Timer(math.inf, 0))
+            end = min(self.scheduled_ends, key=lambda d: d[0], default=(math.inf, None))
             if min(timer.at, end[0]) > now:
                 break
             self.now = max(self.now, min(timer.at, end[0]))
             if end[1] is not None and end[0] <= timer.at:
-                self.due.remove(end)
-                self.give(end[1])
+                self.scheduled_ends.remove(end)
+                self.feed(end[1])
             else:
                 self.timers.remove(timer)
-                self.give(i.TimerFired(timer.token))
+                self.feed(interface.TimerFired(timer.token))
         self.now = now
 
-    def end_in(self, took: float, end: i.End = i.End.OK) -> None:
+    def finish_in(self, took: float, end: interface.End = interface.End.OK) -> None:
         """The newest attempt sent will end so."""
         send = self.sends[-1]
-        n = self.attempts[send.request]
-        outcome = i.Outcome(send.request, n, send.server, end, took, end is i.End.OK)
-        self.due.append((self.now + took, outcome))
+        attempt = self.attempts[send.request]
+        outcome = interface.Outcome(send.request, attempt, send.server, end, took, end is interface.End.OK)
+        self.scheduled_ends.append((self.now + took, outcome))
 
-    def idle(self) -> None:
-        self.give(i.TimerFired(-1))
+    def poll(self) -> None:
+        self.feed(interface.TimerFired(-1))
 
-    def ask(self, units: float = 1.0, budget: float = 2.0, step: float = 0.0, customer: int = 7,
+    def request(self, units: float = 1.0, budget: float = 2.0, step: float = 0.0, account: int = 7,
             spread: int = 2, plan: int = 0, cls: int = 0) -> str:  # fmt: skip
-        self.next += 1
-        self.state[self.next] = "waiting"
-        self.give(i.Request(self.next, cls, plan, customer, budget, units, spread))
+        self.request_number += 1
+        self.states[self.request_number] = "waiting"
+        self.feed(interface.Request(self.request_number, cls, plan, account, budget, units, spread))
         if step:
-            self.at(self.now + step)
-        return self.last()
+            self.advance_to(self.now + step)
+        return self.last_state()
 
-    def last(self) -> str:
-        return self.state[self.next]
+    def last_state(self) -> str:
+        return self.states[self.request_number]
 
-    def finish(self, end: i.End = i.End.OK, true_units: float | None = None, took: float = 0.1) -> None:
+    def finish(
+        self, end: interface.End = interface.End.OK, true_units: float | None = None, took: float = 0.1
+    ) -> None:
         """Ends the newest attempt sent."""
         send = self.sends[-1]
-        n = self.attempts[send.request]
-        self.give(i.Outcome(send.request, n, send.server, end, took, end is i.End.OK, None, true_units))
+        attempt = self.attempts[send.request]
+        self.feed(
+            interface.Outcome(
+                send.request, attempt, send.server, end, took, end is interface.End.OK, None, true_units
+            )
+        )
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -82,32 +82,32 @@
 
     def test_a_banned_server_gets_no_attempt_of_any_kind_whatever_the_list_says(self) -> None:
         rig = GatewayRig(decisions(), servers=2)
-        rig.give(i.Banned(1, True))
-        rig.give(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(1, i.Health.GONE),)))
-        rig.give(i.ServerList(i.ListKind.WHOLE, (entry(1, started=0.5), entry(2))))
+        rig.feed(i.Banned(1, True))
+        rig.feed(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(1, i.Health.GONE),)))
+        rig.feed(i.ServerList(i.ListKind.WHOLE, (entry(1, started=0.5), entry(2))))
         for customer in range(30):
-            rig.ask(customer=customer)
+            rig.request(account=customer)
             rig.finish(i.End.FULL if customer % 3 == 0 else i.End.OK)
         assert {s.server for s in rig.sends} == {2}
         assert rig.gateway.count_avoided(rig.now) == 1
 
     def test_with_all_banned_requests_are_refused_at_once_with_advice(self) -> None:
         rig = GatewayRig(decisions(), servers=1)
-        rig.give(i.Banned(1, True))
-        assert rig.ask() == "refused" and rig.refusals[-1].retry_after > 0
+        rig.feed(i.Banned(1, True))
+        assert rig.request() == "refused" and rig.refusals[-1].retry_after > 0
 
     def test_given_back_it_is_used_next_as_cold_and_without_old_beliefs(self) -> None:
         rig = GatewayRig(decisions(cold=16.0, cold_from=0.15), servers=12)
-        rig.at(5.0)
+        rig.advance_to(5.0)
         rig.gateway.servers[3].failures = {0: [1.0, 1e9, 8.0]}
-        rig.give(i.Banned(3, True, rig.now))
-        rig.give(i.Banned(3, False))
-        rig.ask()
+        rig.feed(i.Banned(3, True, rig.now))
+        rig.feed(i.Banned(3, False))
+        rig.request()
         assert rig.sends[-1].server == 3 and rig.gateway.count_avoided(rig.now) == 0
         rig.finish()
         assert rig.gateway.capacity(rig.gateway.servers[3]) == pytest.approx(0.15)
         for n in range(200):
-            rig.ask(customer=n)
+            rig.request(account=n)
             rig.finish()
         assert 0 < [s.server for s in rig.sends].count(3) < 200 / 12 / 2  # a warm one's part is 200 / 12
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,8 +8,7 @@
 import pytest
 
 import starlinggap
-from starlinggap import Gateway
-from starlinggap import interface as i
+from starlinggap import Gateway, interface
 from tests.gateway_rig import settings
 from tests.test_rules import CEILING, CLASSES, World
 
@@ -36,9 +35,12 @@
     for seed in range(12):
         for counter in ("silent", "emptied"):
             try:
-                for plan in (CEILING, i.Plan(rate=50.0, burst=500.0)):  # the second lets nearly all through
-                    s = settings(classes=CLASSES, plans=(plan,), gateways=2, max_attempts=4)
-                    World(seed, 2, counter, s, make).run(120)
+                for plan in (
+                    CEILING,
+                    interface.Plan(rate=50.0, burst=500.0),
+                ):  # the second lets nearly all through
+                    config = settings(classes=CLASSES, plans=(plan,), gateways=2, max_attempts=4)
+                    World(seed, 2, counter, config, make).run(120)
             except AssertionError as error:
                 return str(error)
     return ""
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -106,8 +106,8 @@
 def test_what_one_gateway_has_learned_another_takes_over_and_refuses_what_is_no_good() -> None:
     old = GatewayRig(settings(), servers=3)
     for n in range(40):
-        old.ask(customer=n % 5, step=0.01)
-        if old.last() == "sent":
+        old.request(account=n % 5, step=0.01)
+        if old.last_state() == "sent":
             old.finish(i.End.ERROR if n == 7 else i.End.OK)
     old.gateway.call_share = 0.4
     new = GatewayRig(settings(), servers=3, seed=2)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from starlinggap import interface as i
+from starlinggap import interface
 from starlinggap.quota import estimate_use, fits
 from tests.gateway_rig import GatewayRig, settings
 
@@ -18,29 +18,29 @@
 @pytest.mark.parametrize(("cost", "sent"), [(1.0, True), (2.0, False)])
 def test_papers_example_through_the_gateway(cost: float, sent: bool) -> None:
     # 3 units of 3 used just before the window turns; a tenth of the next window has passed.
-    rig = GatewayRig(settings(plans=(i.Plan(rate=1.0, burst=3.0),)))
-    rig.at(2.99)
+    rig = GatewayRig(settings(plans=(interface.Plan(rate=1.0, burst=3.0),)))
+    rig.advance_to(2.99)
     for _ in range(3):
-        assert rig.ask(units=1.0) == "sent"
-    rig.at(3.3)
-    assert (rig.ask(units=cost) == "sent") is sent
+        assert rig.request(units=1.0) == "sent"
+    rig.advance_to(3.3)
+    assert (rig.request(units=cost) == "sent") is sent
 
 
 def test_a_refusal_takes_its_units_back_and_advises() -> None:
     rig = GatewayRig(settings())
-    assert rig.ask(units=4.0) == "sent"
-    assert rig.ask(units=4.0) == "sent"
-    assert rig.ask(units=4.0) == "refused"
+    assert rig.request(units=4.0) == "sent"
+    assert rig.request(units=4.0) == "sent"
+    assert rig.request(units=4.0) == "refused"
     assert sum(rig.totals.values()) == 8.0
     assert 0 < rig.refusals[-1].retry_after <= 1.0
 
 
 def test_true_units_are_settled_on_the_count() -> None:
     rig = GatewayRig(settings(settles=True))
-    assert rig.ask(units=2.0) == "sent"
+    assert rig.request(units=2.0) == "sent"
     rig.finish(true_units=4.0)
-    rig.at(rig.now + 2.0)
-    rig.idle()
+    rig.advance_to(rig.now + 2.0)
+    rig.poll()
     assert sum(rig.totals.values()) == 4.0
 
 
@@ -48,128 +48,128 @@
     # Light use in the last window, then the full burst: the told store has filled again and holds it all.
     rig = GatewayRig(settings())
     for at in (0.1, 5.0, 7.9):
-        rig.at(at)
-        assert rig.ask(units=1.0) == "sent"
+        rig.advance_to(at)
+        assert rig.request(units=1.0) == "sent"
         rig.finish()
-    rig.at(8.6)
-    assert [rig.ask(units=4.0) for _ in range(2)] == ["sent", "sent"]
-    assert rig.ask(units=4.0) == "refused"
+    rig.advance_to(8.6)
+    assert [rig.request(units=4.0) for _ in range(2)] == ["sent", "sent"]
+    assert rig.request(units=4.0) == "refused"
 
 
 def test_silent_counter_is_decided_locally_within_its_timeout() -> None:
     rig = GatewayRig(settings(), answering=False)
-    assert rig.ask(units=1.0) == "waiting"
-    rig.at(0.03)
-    assert rig.last() == "sent"
-    verdicts = [rig.ask(units=4.0, step=0.06) for _ in range(12)]
+    assert rig.request(units=1.0) == "waiting"
+    rig.advance_to(0.03)
+    assert rig.last_state() == "sent"
+    verdicts = [rig.request(units=4.0, step=0.06) for _ in range(12)]
     assert verdicts.count("refused") >= 8
 
 
 def test_impatient_try_is_answered_while_the_counter_is_silent() -> None:
     rig = GatewayRig(settings(), answering=False)
-    assert rig.ask(units=1.0, budget=0.004) in ("sent", "refused")
-    rig.ask(units=1.0, budget=0.03)
-    rig.at(rig.now + 0.02)
-    assert rig.last() in ("sent", "refused")
+    assert rig.request(units=1.0, budget=0.004) in ("sent", "refused")
+    rig.request(units=1.0, budget=0.03)
+    rig.advance_to(rig.now + 0.02)
+    assert rig.last_state() in ("sent", "refused")
 
 
 def test_emptied_counter_does_not_open_the_quota() -> None:
     rig = GatewayRig(settings())
-    assert [rig.ask(units=4.0) for _ in range(2)] == ["sent", "sent"]
+    assert [rig.request(units=4.0) for _ in range(2)] == ["sent", "sent"]
     rig.totals.clear()
-    assert rig.ask(units=4.0) == "refused"
+    assert rig.request(units=4.0) == "refused"
 
 
 @pytest.mark.parametrize("total", [float("nan"), float("inf"), -1e9])
-def test_garbage_totals_are_no_totals(total: float) -> None:
+def test_garbage_totals_are_ignored(total: float) -> None:
     rig = GatewayRig(settings(), answering=False)
-    rig.ask(units=1.0)
+    rig.request(units=1.0)
     rig.answer_all(total)
-    assert rig.last() == "sent"
-    assert rig.ask(units=100.0) in ("waiting", "refused")
+    assert rig.last_state() == "sent"
+    assert rig.request(units=100.0) in ("waiting", "refused")
 
 
 def test_late_answer_is_refunded_when_the_request_was_refused() -> None:
     rig = GatewayRig(settings(), answering=False)
-    rig.ask(units=100.0)
-    rig.at(0.035)
-    assert rig.last() == "refused"
+    rig.request(units=100.0)
+    rig.advance_to(0.035)
+    assert rig.last_state() == "refused"
     rig.answer_all(None)
     rig.answering = True
-    rig.at(2.0)
-    rig.idle()
+    rig.advance_to(2.0)
+    rig.poll()
     assert sum(rig.totals.values()) == 0.0
 
 
-@pytest.mark.parametrize("end", [i.End.ERROR, i.End.RESET])
+@pytest.mark.parametrize("end", [interface.End.ERROR, interface.End.RESET])
 @pytest.mark.parametrize(("before", "state"), [(1.0, "sent"), (8.0, "refused")])
-def test_a_total_that_was_lost_is_read_again_and_judged_as_the_calls_own(
-    end: i.End, before: float, state: str
+def test_a_lost_total_is_read_again_and_decides_like_the_calls_own(
+    end: interface.End, before: float, state: str
 ) -> None:
     rig = GatewayRig(settings(), answering=False)
-    rig.ask(units=2.0)
-    call = rig.counts.pop()
+    rig.request(units=2.0)
+    call = rig.open_calls.pop()
     rig.totals[call.name] = before + call.amount
-    rig.give(i.Counted(call.name, 0.001, end))
-    assert [c.amount for c in rig.counts] == [0.0]
+    rig.feed(interface.Counted(call.name, 0.001, end))
+    assert [c.amount for c in rig.open_calls] == [0.0]
     rig.answering = True
-    rig.give(rig.answer(rig.counts.pop()))
-    assert rig.last() == state
+    rig.feed(rig.answer(rig.open_calls.pop()))
+    assert rig.last_state() == state
     assert rig.totals[call.name] == before + (2.0 if state == "sent" else 0.0)
     assert rig.gateway.call_share == 1.0, "one lost total is no sign of pressure"
 
 
-def test_a_total_that_is_lost_twice_is_decided_without() -> None:
+def test_a_total_lost_twice_is_decided_without() -> None:
     rig = GatewayRig(settings(), answering=False)
-    rig.ask(units=2.0)
+    rig.request(units=2.0)
     for _ in range(2):
-        rig.give(i.Counted(rig.counts.pop().name, 0.001, i.End.ERROR))
-    assert rig.last() == "sent" and not rig.gateway.calls
+        rig.feed(interface.Counted(rig.open_calls.pop().name, 0.001, interface.End.ERROR))
+    assert rig.last_state() == "sent" and not rig.gateway.calls
 
 
-CEILED = i.Plan(rate=2.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=16.0, ceiling_slack=2.0)
+CEILED = interface.Plan(rate=2.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=16.0, ceiling_slack=2.0)
 
 
-def test_a_customer_met_late_has_the_part_of_the_ceiling_that_has_come_back_since_the_start() -> None:
+def test_an_account_met_late_has_the_part_of_the_ceiling_refilled_since_the_start() -> None:
     rig = GatewayRig(settings(plans=(CEILED,), counter=False))
     rig.gateway.call_share = 0.0  # nobody is let in by totals meanwhile
-    assert [rig.ask(units=1.0, customer=1) for _ in range(2)] == ["sent", "refused"]
+    assert [rig.request(units=1.0, account=1) for _ in range(2)] == ["sent", "refused"]
     rig.finish()
-    rig.at(2.0)
-    assert [rig.ask(units=1.0, customer=2) for _ in range(4)] == ["sent"] * 4
+    rig.advance_to(2.0)
+    assert [rig.request(units=1.0, account=2) for _ in range(4)] == ["sent"] * 4
 
 
-def test_what_totals_let_in_needs_no_part_of_the_ceiling() -> None:
+def test_requests_admitted_by_a_total_need_no_part_of_the_ceiling() -> None:
     # Each of four gateways has a quarter of 16 units, and of the slack only where it has just started: inside
     # a quota of 8 units a second order of 2 was refused there, whatever the total said.
     rig = GatewayRig(settings(plans=(CEILED,), gateways=4))
-    assert [rig.ask(units=2.0, spread=4) for _ in range(5)] == ["sent"] * 4 + ["refused"]
+    assert [rig.request(units=2.0, spread=4) for _ in range(5)] == ["sent"] * 4 + ["refused"]
 
 
-def test_after_the_counter_forgot_totals_let_in_only_what_the_part_of_the_ceiling_bears() -> None:
+def test_after_lost_counts_totals_admit_only_what_the_part_of_the_ceiling_allows() -> None:
     rig = GatewayRig(settings(plans=(CEILED,), gateways=4))
-    assert [rig.ask(units=2.0, spread=4) for _ in range(3)] == ["sent"] * 3
+    assert [rig.request(units=2.0, spread=4) for _ in range(3)] == ["sent"] * 3
     rig.totals.clear()
-    assert [rig.ask(units=2.0, spread=4, customer=n) for n in (7, 8, 9)] == ["refused"] * 3
+    assert [rig.request(units=2.0, spread=4, account=n) for n in (7, 8, 9)] == ["refused"] * 3
 
 
-def test_customers_that_come_once_are_not_remembered() -> None:
+def test_accounts_seen_once_are_forgotten() -> None:
     # Guards the memory: a day has many that never come again.
     rig = GatewayRig(settings())
     for n in range(200):
-        rig.at(n * 0.2)
-        rig.ask(customer=1000 + n)
+        rig.advance_to(n * 0.2)
+        rig.request(account=1000 + n)
         rig.finish()
     assert len(rig.gateway.accounts) < 90
-    rig.at(80.0)
+    rig.advance_to(80.0)
     assert not rig.gateway.accounts
 
 
-def test_what_was_let_in_without_a_call_is_taken_back_without_one() -> None:
+def test_units_admitted_without_a_call_are_refunded_without_one() -> None:
     # Guards a pressed counter: each refusal in overload cost it a call, and it never came back.
     rig = GatewayRig(settings(), answering=False, servers=1)
     for customer in range(40):
         rig.gateway.call_share = 0.0
-        rig.ask(customer=customer % 4)
-    assert sum(state == "refused" for state in rig.state.values()) > 20
-    assert rig.calls <= 1  # the trial
+        rig.request(account=customer % 4)
+    assert sum(state == "refused" for state in rig.states.values()) > 20
+    assert rig.call_count <= 1  # the trial
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -337,7 +337,7 @@
     assert len(ejections(gateway, 5.0)) == 1
     rig.now = 6.0
     for _ in range(12):
-        rig.ask()
+        rig.request()
         assert rig.sends[-1].server != 1
     gateway.record_outcome(gateway.servers[1], i.Outcome(1, 0, 1, i.End.OK, 0.1), None)
     assert ejections(gateway, 6.0) == []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,51 +12,64 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from starlinggap import Gateway, snapshot
-from starlinggap import interface as i
+from starlinggap import Gateway, interface, snapshot
 from tests.gateway_rig import entry, settings
 
 CLASSES = (
-    i.RequestClass(aim=0.4, deadline=1.0),
-    i.RequestClass(aim=0.4, deadline=1.0, effect=i.Effect.KEYED, group=i.Group.CELL, window=0.3),
-    i.RequestClass(aim=0.4, deadline=1.0, effect=i.Effect.KEYED, group=i.Group.ALL, window=0.3),
-    i.RequestClass(aim=0.4, deadline=1.0, effect=i.Effect.KEYED, group=i.Group.ZONE, window=0.3),
-    i.RequestClass(aim=0.4, deadline=1.0, effect=i.Effect.UNSAFE, window=0.3),
+    interface.RequestClass(aim=0.4, deadline=1.0),
+    interface.RequestClass(
+        aim=0.4, deadline=1.0, effect=interface.Effect.KEYED, group=interface.Group.CELL, window=0.3
+    ),
+    interface.RequestClass(
+        aim=0.4, deadline=1.0, effect=interface.Effect.KEYED, group=interface.Group.ALL, window=0.3
+    ),
+    interface.RequestClass(
+        aim=0.4, deadline=1.0, effect=interface.Effect.KEYED, group=interface.Group.ZONE, window=0.3
+    ),
+    interface.RequestClass(aim=0.4, deadline=1.0, effect=interface.Effect.UNSAFE, window=0.3),
 )
-CEILING = i.Plan(rate=4.0, burst=16.0, ceiling_rate=6.0, ceiling_burst=24.0, ceiling_slack=4.0,
+CEILING = interface.Plan(rate=4.0, burst=16.0, ceiling_rate=6.0, ceiling_burst=24.0, ceiling_slack=4.0,
                  over_worth=0.5, over_cost=0.0)  # fmt: skip
 SLACK = 0.016  # how late a final answer may be
-ENDS = [i.End.OK, i.End.ERROR, i.End.FULL, i.End.TIMEOUT, i.End.CONNECT_FAILED, i.End.RESET]
+ENDS = [
+    interface.End.OK,
+    interface.End.ERROR,
+    interface.End.FULL,
+    interface.End.TIMEOUT,
+    interface.End.CONNECT_FAILED,
+    interface.End.RESET,
+]
 
 
 class World:
     """Several gateways in one world that breaks at random; asserts the rules as it goes."""
 
-    def __init__(self, seed: int, gateways: int, counter: str, s: i.Settings,
-                 make: Callable[[i.Settings, int], Gateway] = Gateway) -> None:  # fmt: skip
-        self.rng, self.s, self.counter, self.now = random.Random(seed), s, counter, 0.0
+    def __init__(self, seed: int, gateways: int, counter: str, config: interface.Settings,
+                 make: Callable[[interface.Settings, int], Gateway] = Gateway) -> None:  # fmt: skip
+        self.rng, self.settings, self.counter, self.now = random.Random(seed), config, counter, 0.0
         # Three halls, the gateways spread over them; the servers of a hall drop a keyed repeat together.
-        self.gates = [make(replace(s, me=n, zone=n % 3), n) for n in range(gateways)]
-        self.queue: list[tuple[float, int, int, i.Event]] = []
-        self.serial = 0
-        self.health = {n: i.Health.READY for n in range(1, 7)}
-        self.told = [dict(self.health) for _ in range(gateways)]  # what each gateway has heard
-        self.open: dict[int, tuple[i.Request, float]] = {}  # what still needs an answer, until when
+        self.gateways = [make(replace(config, me=n, zone=n % 3), n) for n in range(gateways)]
+        self.events: list[tuple[float, int, int, interface.Event]] = []
+        self.event_serial = 0
+        self.health = {n: interface.Health.READY for n in range(1, 7)}
+        self.told_health = [dict(self.health) for _ in range(gateways)]  # what each gateway has heard
+        # What still needs an answer, until when.
+        self.open_requests: dict[int, tuple[interface.Request, float]] = {}
         self.answered: set[int] = set()
-        self.tries: dict[int, list[tuple[int, float, str]]] = {}  # server, time, out / safe / maybe
-        self.whim = random.Random(seed + 1)  # of staff
-        self.out: list[set[int]] = [set() for _ in range(gateways)]  # what staff took out of use
-        self.room, self.room_at = CEILING.ceiling_burst, 0.0
+        self.attempts: dict[int, list[tuple[int, float, str]]] = {}  # server, time, out / safe / maybe
+        self.staff_rng = random.Random(seed + 1)  # of staff
+        self.banned: list[set[int]] = [set() for _ in range(gateways)]  # what staff took out of use
+        self.ceiling_room, self.ceiling_room_at = CEILING.ceiling_burst, 0.0
         self.totals: dict[int, float] = {}
         self.sent = 0
-        self.ends, self.paces = ENDS, [0.03, 0.2, 0.9]  # of attempts
-        for g in range(gateways):
-            lines = tuple(entry(n, cell=n % 2, zone=n % 3) for n in self.health)
-            self.later(0.0, g, i.ServerList(i.ListKind.WHOLE, lines))
+        self.ends, self.durations = ENDS, [0.03, 0.2, 0.9]  # of attempts
+        for index in range(gateways):
+            entries = tuple(entry(n, cell=n % 2, zone=n % 3) for n in self.health)
+            self.schedule(0.0, index, interface.ServerList(interface.ListKind.WHOLE, entries))
 
-    def later(self, after: float, gate: int, event: i.Event) -> None:
-        self.serial += 1
-        self.queue.append((self.now + after, self.serial, gate, event))
+    def schedule(self, after: float, index: int, event: interface.Event) -> None:
+        self.event_serial += 1
+        self.events.append((self.now + after, self.event_serial, index, event))
 
     def run(self, steps: int) -> None:
         number = 0
@@ -64,116 +77,136 @@
             if self.rng.random() < 0.6:
                 number += 1
                 budget = self.rng.choice([0.004, 0.05, 0.4, 1.0])
-                ask = i.Request(number, self.rng.randrange(len(self.s.classes)), 0, 5, budget,
-                                float(self.rng.randint(1, 4)), len(self.gates))  # fmt: skip
-                self.later(0.0, self.rng.randrange(len(self.gates)), ask)
+                request = interface.Request(
+                    number,
+                    self.rng.randrange(len(self.settings.classes)),
+                    0,
+                    5,
+                    budget,
+                    float(self.rng.randint(1, 4)),
+                    len(self.gateways),
+                )
+                self.schedule(0.0, self.rng.randrange(len(self.gateways)), request)
             if self.rng.random() < 0.05:
                 server = self.rng.choice(list(self.health))
-                self.health[server] = self.rng.choice(list(i.Health))
-                for g in range(len(self.gates)):
+                self.health[server] = self.rng.choice(list(interface.Health))
+                for index in range(len(self.gateways)):
                     change = entry(server, cell=server % 2, zone=server % 3, health=self.health[server])
-                    self.later(0.0, g, i.ServerList(i.ListKind.CHANGES, (change,)))
-            if self.whim.random() < 0.05:
-                ban = i.Banned(self.whim.choice(list(self.health)), self.whim.random() < 0.4, self.now)
-                for g in range(len(self.gates)):
-                    self.later(0.0, g, ban)
+                    self.schedule(0.0, index, interface.ServerList(interface.ListKind.CHANGES, (change,)))
+            if self.staff_rng.random() < 0.05:
+                ban = interface.Banned(
+                    self.staff_rng.choice(list(self.health)), self.staff_rng.random() < 0.4, self.now
+                )
+                for index in range(len(self.gateways)):
+                    self.schedule(0.0, index, ban)
             self.step(0.02)
         for _ in range(150):
             self.step(0.02)
-        assert not self.open, "a request has had no answer"
+        assert not self.open_requests, "a request has had no answer"
 
     def step(self, dt: float) -> None:
         end = self.now + dt
-        while due := [e for e in self.queue if e[0] <= end]:
+        while due := [e for e in self.events if e[0] <= end]:
             first = min(due)
-            self.queue.remove(first)
-            at, _, gate, event = first
+            self.events.remove(first)
+            at, _, index, event = first
             self.now = max(self.now, at)
-            if isinstance(event, i.Request):
-                self.open[event.request] = (event, self.now + event.budget)
-            if isinstance(event, i.ServerList):
-                self.told[gate].update({e.server: e.health for e in event.entries})
-            if isinstance(event, i.Banned):
-                (self.out[gate].add if event.out else self.out[gate].discard)(event.server)
-            if isinstance(event, i.Outcome):
+            if isinstance(event, interface.Request):
+                self.open_requests[event.request] = (event, self.now + event.budget)
+            if isinstance(event, interface.ServerList):
+                self.told_health[index].update({e.server: e.health for e in event.entries})
+            if isinstance(event, interface.Banned):
+                (self.banned[index].add if event.out else self.banned[index].discard)(event.server)
+            if isinstance(event, interface.Outcome):
                 event = self.outcome(event)
-            for action in self.gates[gate].handle(self.now, [event]):
-                self.act(gate, action)
+            for action in self.gateways[index].handle(self.now, [event]):
+                self.carry_out(index, action)
         self.now = end
-        for number, (_, until) in self.open.items():
+        for number, (_, until) in self.open_requests.items():
             assert self.now <= until + SLACK + dt, f"request {number} is overdue"
 
-    def outcome(self, event: i.Outcome) -> i.Outcome:
-        server, at, _ = self.tries[event.request][event.attempt]
-        state = "safe" if event.end in i.NEVER_RAN else "maybe"
-        self.tries[event.request][event.attempt] = (server, at, state)
+    def outcome(self, event: interface.Outcome) -> interface.Outcome:
+        server, at, _ = self.attempts[event.request][event.attempt]
+        state = "safe" if event.end in interface.NEVER_RAN else "maybe"
+        self.attempts[event.request][event.attempt] = (server, at, state)
         final = event.request in self.answered
-        if event.end is i.End.OK and not final:
+        if event.end is interface.End.OK and not final:
             self.finish(event.request)
             final = True
         return replace(event, final=final)
 
     def finish(self, number: int) -> None:
         assert number not in self.answered, "two final answers"
-        assert self.now <= self.open[number][1] + SLACK, f"the answer to {number} is overdue"
+        assert self.now <= self.open_requests[number][1] + SLACK, f"the answer to {number} is overdue"
         self.answered.add(number)
-        del self.open[number]
-
-    def act(self, gate: int, a: i.Action) -> None:
-        if isinstance(a, i.Send):
-            self.send(gate, a)
-        elif isinstance(a, i.Refuse):
-            if any(t[2] != "safe" for t in self.tries.get(a.request, [])):
-                cls = self.s.classes[self.open[a.request][0].cls]
-                assert cls.effect is not i.Effect.UNSAFE, "refused what may have run"
-                assert cls.effect is i.Effect.SAFE or cls.group is i.Group.ALL, "refused beyond the group"
-            self.finish(a.request)
-        elif isinstance(a, i.Fail):
-            self.finish(a.request)
-        elif isinstance(a, i.Timer):
-            self.later(max(0.0, a.at - self.now), gate, i.TimerFired(a.token))
-        elif isinstance(a, i.Count):
-            self.count(gate, a)
-
-    def send(self, gate: int, a: i.Send) -> None:
+        del self.open_requests[number]
+
+    def carry_out(self, index: int, action: interface.Action) -> None:
+        if isinstance(action, interface.Send):
+            self.send(index, action)
+        elif isinstance(action, interface.Refuse):
+            if any(t[2] != "safe" for t in self.attempts.get(action.request, [])):
+                cls = self.settings.classes[self.open_requests[action.request][0].cls]
+                assert cls.effect is not interface.Effect.UNSAFE, "refused what may have run"
+                assert cls.effect is interface.Effect.SAFE or cls.group is interface.Group.ALL, (
+                    "refused beyond the group"
+                )
+            self.finish(action.request)
+        elif isinstance(action, interface.Fail):
+            self.finish(action.request)
+        elif isinstance(action, interface.Timer):
+            self.schedule(max(0.0, action.at - self.now), index, interface.TimerFired(action.token))
+        elif isinstance(action, interface.Count):
+            self.count(index, action)
+
+    def send(self, index: int, action: interface.Send) -> None:
         self.sent += 1
-        assert a.request in self.open, "sent after its answer"
-        assert self.told[gate][a.server] is i.Health.READY, "sent to a server that drains or is gone"
-        assert a.server not in self.out[gate], "sent to a server that staff took out"
-        ask = self.open[a.request][0]
-        cls, before = self.s.classes[ask.cls], self.tries.setdefault(a.request, [])
-        assert self.s.parallel or all(t[2] != "out" for t in before), "two attempts out at once"
-        risky = [t for t in before if t[2] != "safe"]
-        if risky and cls.effect is not i.Effect.SAFE:
-            assert cls.effect is i.Effect.KEYED, "sent an unsafe request again"
+        assert action.request in self.open_requests, "sent after its answer"
+        assert self.told_health[index][action.server] is interface.Health.READY, (
+            "sent to a server that drains or is gone"
+        )
+        assert action.server not in self.banned[index], "sent to a server that staff took out"
+        request = self.open_requests[action.request][0]
+        cls, earlier = self.settings.classes[request.cls], self.attempts.setdefault(action.request, [])
+        assert self.settings.parallel or all(t[2] != "out" for t in earlier), "two attempts out at once"
+        risky = [t for t in earlier if t[2] != "safe"]
+        if risky and cls.effect is not interface.Effect.SAFE:
+            assert cls.effect is interface.Effect.KEYED, "sent an unsafe request again"
             assert self.now <= risky[0][1] + cls.window, "sent again after the window"
-            if cls.group is i.Group.CELL:
-                assert a.server % 2 == risky[0][0] % 2, "sent again outside the group"
-            if cls.group is i.Group.ZONE:
-                assert a.server % 3 == risky[0][0] % 3, "sent again outside the hall"
-        if not before and self.s.plans[0].ceiling_rate:
-            filled = self.room + self.s.plans[0].ceiling_rate * (self.now - self.room_at)
-            self.room, self.room_at = min(CEILING.ceiling_burst, filled) - ask.units, self.now
-            assert self.room >= -CEILING.ceiling_slack, "the ceiling is passed"
-        before.append((a.server, self.now, "out"))
-        end, took = self.rng.choice(self.ends), self.rng.choice(self.paces)
-        if self.now + took > a.stop_at:
-            end, took = i.End.TIMEOUT, max(0.0, a.stop_at - self.now)
-        self.later(took, gate, i.Outcome(a.request, len(before) - 1, a.server, end, took))
-
-    def count(self, gate: int, a: i.Count) -> None:
-        total = self.totals[a.name] = self.totals.get(a.name, 0.0) + a.amount
-        end = i.End.OK
+            if cls.group is interface.Group.CELL:
+                assert action.server % 2 == risky[0][0] % 2, "sent again outside the group"
+            if cls.group is interface.Group.ZONE:
+                assert action.server % 3 == risky[0][0] % 3, "sent again outside the hall"
+        if not earlier and self.settings.plans[0].ceiling_rate:
+            filled = self.ceiling_room + self.settings.plans[0].ceiling_rate * (
+                self.now - self.ceiling_room_at
+            )
+            self.ceiling_room, self.ceiling_room_at = (
+                min(CEILING.ceiling_burst, filled) - request.units,
+                self.now,
+            )
+            assert self.ceiling_room >= -CEILING.ceiling_slack, "the ceiling is passed"
+        earlier.append((action.server, self.now, "out"))
+        end, took = self.rng.choice(self.ends), self.rng.choice(self.durations)
+        if self.now + took > action.stop_at:
+            end, took = interface.End.TIMEOUT, max(0.0, action.stop_at - self.now)
+        self.schedule(
+            took, index, interface.Outcome(action.request, len(earlier) - 1, action.server, end, took)
+        )
+
+    def count(self, index: int, action: interface.Count) -> None:
+        total = self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
+        end = interface.End.OK
         if self.counter == "silent":
-            end = i.End.TIMEOUT
+            end = interface.End.TIMEOUT
         elif self.counter == "refusing":
-            end = i.End.FULL
+            end = interface.End.FULL
         elif self.counter == "lying":
             total = self.rng.choice([0.0, float("nan"), -50.0, float("inf"), total])
         elif self.counter == "emptied" and self.rng.random() < 0.1:
             self.totals.clear()
-        took = 0.05 if end is i.End.TIMEOUT else 0.04 if self.counter == "crawling" else 0.002
-        self.later(took, gate, i.Counted(a.name, took, end, total))
+        took = 0.05 if end is interface.End.TIMEOUT else 0.04 if self.counter == "crawling" else 0.002
+        self.schedule(took, index, interface.Counted(action.name, took, end, total))
 
 
 COUNTERS = ["well", "silent", "refusing", "lying", "emptied", "crawling"]
@@ -181,120 +214,156 @@
 
 @hyp(max_examples=25, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.integers(1, 3), st.sampled_from(COUNTERS), st.booleans(), st.booleans())
-def test_rules_hold_in_any_trouble(seed: int, gates: int, counter: str, parallel: bool, cancel: bool) -> None:
-    s = settings(classes=CLASSES, plans=(CEILING,), gateways=gates, parallel=parallel, cancel=cancel,
-                 max_attempts=4, cross_zone_price=0.02)  # fmt: skip
-    world = World(seed, gates, counter, s)
+def test_rules_hold_under_random_faults(
+    seed: int, gateways: int, counter: str, parallel: bool, cancel: bool
+) -> None:
+    config = settings(
+        classes=CLASSES,
+        plans=(CEILING,),
+        gateways=gateways,
+        parallel=parallel,
+        cancel=cancel,
+        max_attempts=4,
+        cross_zone_price=0.02,
+    )
+    world = World(seed, gateways, counter, config)
     world.run(120)
     assert world.sent > 0
 
 
 @pytest.mark.parametrize("counter", COUNTERS)
 def test_ceiling_holds_when_a_gateway_restarts(counter: str) -> None:
-    s = settings(classes=CLASSES[:1], plans=(CEILING,), gateways=2)
-    world = World(4, 2, counter, s)
+    config = settings(classes=CLASSES[:1], plans=(CEILING,), gateways=2)
+    world = World(4, 2, counter, config)
     world.run(40)
-    world.gates[0] = Gateway(replace(s, me=0), 99)
-    world.queue = [e for e in world.queue if e[2] != 0]
-    world.gates[0].handle(world.now, [i.ServerList(i.ListKind.WHOLE, tuple(entry(n) for n in world.health))])
-    world.told[0], world.out[0] = {n: i.Health.READY for n in world.health}, set()
+    world.gateways[0] = Gateway(replace(config, me=0), 99)
+    world.events = [e for e in world.events if e[2] != 0]
+    world.gateways[0].handle(
+        world.now, [interface.ServerList(interface.ListKind.WHOLE, tuple(entry(n) for n in world.health))]
+    )
+    world.told_health[0], world.banned[0] = {n: interface.Health.READY for n in world.health}, set()
     for n in range(1000, 1020):
-        ask = i.Request(n, 0, 0, 5, 1.0, 4.0, 2)
-        world.later(0.0, 0, ask)
+        request = interface.Request(n, 0, 0, 5, 1.0, 4.0, 2)
+        world.schedule(0.0, 0, request)
         world.step(0.005)
-    assert world.room >= -CEILING.ceiling_slack
+    assert world.ceiling_room >= -CEILING.ceiling_slack
 
 
 @pytest.mark.parametrize(
-    "seed, gates", [(45, 2), (136, 2), (48, 3), (61, 3), (66, 4), (125, 4), *((n, 3) for n in range(6))]
+    "seed, gateways", [(45, 2), (136, 2), (48, 3), (61, 3), (66, 4), (125, 4), *((n, 3) for n in range(6))]
 )
-def test_ceiling_holds_when_the_counter_falls_silent_just_after_totals_let_in_a_burst(
-    seed: int, gates: int
+def test_ceiling_holds_when_the_counter_falls_silent_just_after_totals_admitted_a_burst(
+    seed: int, gateways: int
 ) -> None:
-    world = World(seed, gates, "well", settings(classes=CLASSES[:1], plans=(CEILING,), gateways=gates))
+    world = World(seed, gateways, "well", settings(classes=CLASSES[:1], plans=(CEILING,), gateways=gateways))
     world.run(5)
     for n in range(100_000, 100_240):
         if n == 100_040:
             world.counter = "silent"
-        gate = world.rng.randrange(gates)
-        ask = i.Request(n, 0, 0, 5, 1.0, float(world.rng.randint(1, 4)), gates)
-        world.later(0.0, gate, ask)
+        index = world.rng.randrange(gateways)
+        request = interface.Request(n, 0, 0, 5, 1.0, float(world.rng.randint(1, 4)), gateways)
+        world.schedule(0.0, index, request)
         world.step(0.005 if n < 100_040 else 0.01)
     assert world.sent > 20
 
 
-@pytest.mark.parametrize("gates", [1, 2, 3, 4])
+@pytest.mark.parametrize("gateways", [1, 2, 3, 4])
 @pytest.mark.parametrize("seed", range(4))
-def test_ceiling_holds_for_a_customer_who_asks_for_far_more_all_day(seed: int, gates: int) -> None:
+def test_ceiling_holds_for_an_account_that_requests_far_more_all_day(seed: int, gateways: int) -> None:
     # What totals let in and what is worth sending beyond the quota come to more than either.
-    world = World(seed, gates, "well", settings(classes=CLASSES[:1], plans=(CEILING,), gateways=gates))
-    world.ends, world.paces = [i.End.OK], [0.03]
+    world = World(seed, gateways, "well", settings(classes=CLASSES[:1], plans=(CEILING,), gateways=gateways))
+    world.ends, world.durations = [interface.End.OK], [0.03]
     for n in range(100_000, 100_500):
         units = float(world.rng.choice([1, 1, 2, 4]))
-        world.later(0.0, world.rng.randrange(gates), i.Request(n, 0, 0, 5, 1.0, units, gates))
+        world.schedule(
+            0.0, world.rng.randrange(gateways), interface.Request(n, 0, 0, 5, 1.0, units, gateways)
+        )
         world.step(0.06)
     assert world.sent * 2.0 > 30 * CEILING.rate, "and it gets more than its quota"
 
 
 @pytest.mark.parametrize("counter", COUNTERS)
 def test_ceiling_holds_while_an_old_and_a_new_process_serve_side_by_side(counter: str) -> None:
-    s = settings(classes=CLASSES[:1], plans=(CEILING,), gateways=2)
-    world = World(4, 2, counter, s)
+    config = settings(classes=CLASSES[:1], plans=(CEILING,), gateways=2)
+    world = World(4, 2, counter, config)
     world.run(40)
-    new = Gateway(replace(s, me=0), 99)
-    lines = tuple(entry(n, health=health) for n, health in world.told[0].items())
-    new.handle(world.now, [i.ServerList(i.ListKind.WHOLE, lines), *(i.Banned(n, True) for n in world.out[0])])
-    snapshot.give(new, json.loads(json.dumps(snapshot.take(world.gates[0]))), world.now)
-    world.gates.append(new)
-    world.told.append(dict(world.told[0]))
-    world.out.append(set(world.out[0]))
+    new = Gateway(replace(config, me=0), 99)
+    entries = tuple(entry(n, health=health) for n, health in world.told_health[0].items())
+    new.handle(
+        world.now,
+        [
+            interface.ServerList(interface.ListKind.WHOLE, entries),
+            *(interface.Banned(n, True) for n in world.banned[0]),
+        ],
+    )
+    snapshot.give(new, json.loads(json.dumps(snapshot.take(world.gateways[0]))), world.now)
+    world.gateways.append(new)
+    world.told_health.append(dict(world.told_health[0]))
+    world.banned.append(set(world.banned[0]))
     for n in range(1000, 1060):  # the third gate is the first's successor: together they are one of two
-        gate = n % 3
-        world.later(0.0, gate, i.Request(n, 0, 0, 5, 1.0, 4.0, 2, parts=1 if gate == 1 else 2))
+        index = n % 3
+        world.schedule(0.0, index, interface.Request(n, 0, 0, 5, 1.0, 4.0, 2, parts=1 if index == 1 else 2))
         world.step(0.005)
-    assert world.room >= -CEILING.ceiling_slack
+    assert world.ceiling_room >= -CEILING.ceiling_slack
 
 
 def test_nothing_is_sent_to_a_server_in_the_batch_that_drains_it() -> None:
     gateway = Gateway(settings(counter=False), 1)
-    gateway.handle(0.0, [i.ServerList(i.ListKind.WHOLE, (entry(1), entry(2)))])
-    drain = i.ServerList(i.ListKind.CHANGES, (entry(1, health=i.Health.DRAINING),))
-    asks = [i.Request(n, 0, 0, n, 2.0) for n in range(12)]
-    sends = [a for a in gateway.handle(0.1, [*asks, drain]) if isinstance(a, i.Send)]
+    gateway.handle(0.0, [interface.ServerList(interface.ListKind.WHOLE, (entry(1), entry(2)))])
+    drain = interface.ServerList(interface.ListKind.CHANGES, (entry(1, health=interface.Health.DRAINING),))
+    requests = [interface.Request(n, 0, 0, n, 2.0) for n in range(12)]
+    sends = [
+        action for action in gateway.handle(0.1, [*requests, drain]) if isinstance(action, interface.Send)
+    ]
     assert sends
-    assert {a.server for a in sends} == {2}
+    assert {action.server for action in sends} == {2}
 
 
-@pytest.mark.parametrize("gates", [1, 3])
-def test_cold_server_stays_within_the_fall_budget(gates: int) -> None:
+@pytest.mark.parametrize("number_of_gateways", [1, 3])
+def test_cold_server_stays_within_the_fall_budget(number_of_gateways: int) -> None:
     # Eight servers of one second's work a second at half load, one cold at a fifth: all gateways alike.
-    s = settings(counter=False, gateways=gates, plans=(i.Plan(),), cold=10.0, cold_from=0.2, fall=3.0,
-                 fall_multiple=2.5)  # fmt: skip
-    lines = tuple(entry(n) for n in range(1, 9))
-    gateways = [Gateway(s, n) for n in range(gates)]
-    for gate in gateways:
-        gate.handle(0.0, [i.ServerList(i.ListKind.WHOLE, lines)])
-    rng, now, number, work, cold_sends = random.Random(5), 0.0, 0, 0.16, []
-    pending: list[tuple[float, int, i.Event]] = []
+    config = settings(
+        counter=False,
+        gateways=number_of_gateways,
+        plans=(interface.Plan(),),
+        cold=10.0,
+        cold_from=0.2,
+        fall=3.0,
+        fall_multiple=2.5,
+    )
+    entries = tuple(entry(n) for n in range(1, 9))
+    gateways = [Gateway(config, n) for n in range(number_of_gateways)]
+    for gateway in gateways:
+        gateway.handle(0.0, [interface.ServerList(interface.ListKind.WHOLE, entries)])
+    rng, now, number, service_time, cold_sends = random.Random(5), 0.0, 0, 0.16, []
+    pending: list[tuple[float, int, interface.Event]] = []
     while now < 20.0:
         now += 0.01
         if abs(now - 8.0) < 0.005:
-            back = i.ServerList(i.ListKind.CHANGES, (entry(8, started=now),))
-            for gate in gateways:
-                gate.handle(now, [back])
+            back = interface.ServerList(interface.ListKind.CHANGES, (entry(8, started=now),))
+            for gateway in gateways:
+                gateway.handle(now, [back])
         for due in [p for p in pending if p[0] <= now]:
             pending.remove(due)
             gateways[due[1]].handle(now, [due[2]])
         if rng.random() < 0.25:
             number += 1
-            g = rng.randrange(gates)
-            for a in gateways[g].handle(now, [i.Request(number, 0, 0, number, 2.0)]):
-                if isinstance(a, i.Send):
-                    pending.append((now + work, g, i.Outcome(a.request, 0, a.server, i.End.OK, work, True)))
-                    if a.server == 8 and now > 8.0:
+            index = rng.randrange(number_of_gateways)
+            for action in gateways[index].handle(now, [interface.Request(number, 0, 0, number, 2.0)]):
+                if isinstance(action, interface.Send):
+                    pending.append(
+                        (
+                            now + service_time,
+                            index,
+                            interface.Outcome(
+                                action.request, 0, action.server, interface.End.OK, service_time, True
+                            ),
+                        )
+                    )
+                    if action.server == 8 and now > 8.0:
                         cold_sends.append(now)
     assert cold_sends
     for t in cold_sends:
         share = 0.2 + 0.8 * min(1.0, (t - 8.0) / 10.0)
-        sent = sum(work for x in cold_sends if t <= x < t + 3.0)
+        sent = sum(service_time for x in cold_sends if t <= x < t + 3.0)
         assert sent <= 2.5 * share * 3.0
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -14,78 +14,98 @@
 
 import starlinggap
 from examples.one_gateway import run
-from starlinggap import Gateway
-from starlinggap import interface as i
+from starlinggap import Gateway, interface
 from starlinggap.quota import Account
 from tests.gateway_rig import GatewayRig, entry, settings
 
-TWO = (i.RequestClass(aim=0.8, deadline=2.0), i.RequestClass(aim=1.5, deadline=4.0, worth=3.0))
+TWO = (
+    interface.RequestClass(aim=0.8, deadline=2.0),
+    interface.RequestClass(aim=1.5, deadline=4.0, worth=3.0),
+)
 
 
-def free(**changes: object) -> i.Settings:
-    return settings(counter=False, plans=(i.Plan(),), **changes)
+def free(**changes: object) -> interface.Settings:
+    return settings(counter=False, plans=(interface.Plan(),), **changes)
 
 
-def serve(rig: GatewayRig, took: float = 0.1) -> int:
+def serve_one(rig: GatewayRig, took: float = 0.1) -> int:
     """One request sent and answered; the server that took it."""
-    assert rig.ask(customer=rig.next + 100) == "sent"
+    assert rig.request(account=rig.request_number + 100) == "sent"
     rig.finish(took=took)
     return rig.sends[-1].server
 
 
 def cold_fleet(
-    spread: str, make: Callable[[i.Settings, int], Gateway], number_cold: int = 10
+    spread: str, make: Callable[[interface.Settings, int], Gateway], number_cold: int = 10
 ) -> tuple[bool, float]:
     """120 gateways, half of them just started; a third of 30 servers comes back cold within a tenth of a
     second. A warm server does one second's work a second; what is asked is 0.6 of what all warm would do.
     Whether hardly anything was sent to the cold ones, and the largest share of the fall budget spent."""
-    s = settings(counter=False, gateways=120, plans=(i.Plan(),), cold=15.0, cold_from=0.16, fall=3.0,
-                 fall_multiple=2.5)  # fmt: skip
-    rng, work, cold = random.Random(3), 0.15, range(1, number_cold + 1)
-    lines = tuple(entry(n, started=50.0 + 0.01 * n if n in cold else 0.0) for n in range(1, 31))
-    gates = [make(s, n) for n in range(120)]
-    for n, gate in enumerate(gates):
+    config = settings(
+        counter=False,
+        gateways=120,
+        plans=(interface.Plan(),),
+        cold=15.0,
+        cold_from=0.16,
+        fall=3.0,
+        fall_multiple=2.5,
+    )
+    rng, service_time, cold = random.Random(3), 0.15, range(1, number_cold + 1)
+    entries = tuple(entry(n, started=50.0 + 0.01 * n if n in cold else 0.0) for n in range(1, 31))
+    gateways = [make(config, n) for n in range(120)]
+    for n, gateway in enumerate(gateways):
         if n % 2:
-            gate.handle(20.0, [i.ServerList(i.ListKind.WHOLE, tuple(entry(k) for k in range(1, 31)))])
-        gate.handle(50.2, [i.ServerList(i.ListKind.WHOLE, lines)])
+            gateway.handle(
+                20.0, [interface.ServerList(interface.ListKind.WHOLE, tuple(entry(k) for k in range(1, 31)))]
+            )
+        gateway.handle(50.2, [interface.ServerList(interface.ListKind.WHOLE, entries)])
     weights = [1.0 if spread == "even" else 1.0 / (1 + n) for n in range(120)]
     sent: dict[int, list[float]] = {n: [] for n in cold}
-    pending: list[tuple[float, int, i.Event]] = []
+    pending: list[tuple[float, int, interface.Event]] = []
     now, number = 50.2, 0
     while now < 62.0:
-        now += rng.expovariate(0.6 * 30 / work)
+        now += rng.expovariate(0.6 * 30 / service_time)
         while pending and pending[0][0] <= now:
-            at, g, event = pending.pop(0)
-            gates[g].handle(at, [event])
+            at, index, event = pending.pop(0)
+            gateways[index].handle(at, [event])
         number += 1
-        g = rng.choices(range(120), weights)[0]
-        for a in gates[g].handle(now, [i.Request(number, 0, 0, number, 2.0)]):
-            if isinstance(a, i.Send):
-                end = i.Outcome(a.request, 0, a.server, i.End.OK, work, True)
-                pending.append((now + work, g, end))
-                if a.server in sent:
-                    sent[a.server].append(now)
+        index = rng.choices(range(120), weights)[0]
+        for action in gateways[index].handle(now, [interface.Request(number, 0, 0, number, 2.0)]):
+            if isinstance(action, interface.Send):
+                end = interface.Outcome(
+                    action.request, 0, action.server, interface.End.OK, service_time, True
+                )
+                pending.append((now + service_time, index, end))
+                if action.server in sent:
+                    sent[action.server].append(now)
     over = 0.0
     for server, times in sent.items():
         for t in times:
             share = 0.16 + 0.84 * min(1.0, (t - 50.0 - 0.01 * server) / 15.0)
-            over = max(over, sum(work for x in times if t <= x < t + 3.0) / (2.5 * share * 3.0))
+            over = max(over, sum(service_time for x in times if t <= x < t + 3.0) / (2.5 * share * 3.0))
     return sum(len(v) for v in sent.values()) <= 50, over
 
 
-def test_a_server_that_fails_one_class_is_spared_it_alone() -> None:
+def test_a_server_that_fails_one_class_is_ejected_for_it_alone() -> None:
     # A quick failure must not draw more of the class; the other class goes on there.
     rig = GatewayRig(free(classes=TWO))
     first, second = Counter[int](), Counter[int]()
     for n in range(300):
-        rig.at(rig.now + 0.02)
+        rig.advance_to(rig.now + 0.02)
         cls = n % 2
-        if rig.ask(customer=n, cls=cls) != "sent":
+        if rig.request(account=n, cls=cls) != "sent":
             continue
         server = rig.sends[-1].server
         (second if cls else first)[server] += 1
-        rig.finish(i.End.ERROR if cls == 0 and server == 1 else i.End.OK, took=0.01 if server == 1 else 0.1)
-        if rig.last() == "sent" and rig.sends[-1].request == rig.next and rig.sends[-1].server != server:
+        rig.finish(
+            interface.End.ERROR if cls == 0 and server == 1 else interface.End.OK,
+            took=0.01 if server == 1 else 0.1,
+        )
+        if (
+            rig.last_state() == "sent"
+            and rig.sends[-1].request == rig.request_number
+            and rig.sends[-1].server != server
+        ):
             rig.finish()
     assert first[1] < 0.1 * first.total()
     assert second[1] > 0.1 * second.total()
@@ -94,66 +114,68 @@
 def test_all_failing_alike_ejects_nobody_for_good() -> None:
     rig = GatewayRig(free())
     for n in range(40):
-        rig.at(rig.now + 0.05)
-        rig.ask(customer=n)
-        while rig.last() == "sent" and rig.sends[-1].request == rig.next:
+        rig.advance_to(rig.now + 0.05)
+        rig.request(account=n)
+        while rig.last_state() == "sent" and rig.sends[-1].request == rig.request_number:
             before = len(rig.sends)
-            rig.finish(i.End.ERROR, took=0.01)
+            rig.finish(interface.End.ERROR, took=0.01)
             if len(rig.sends) == before:
                 break
-    rig.at(rig.now + 0.1)
-    assert rig.ask(customer=999) == "sent"
+    rig.advance_to(rig.now + 0.1)
+    assert rig.request(account=999) == "sent"
 
 
 def test_a_slow_server_gets_less() -> None:
     rig = GatewayRig(free())
     for _ in range(60):
-        rig.at(rig.now + 0.05)
-        rig.ask(customer=rig.next)
+        rig.advance_to(rig.now + 0.05)
+        rig.request(account=rig.request_number)
         rig.finish(took=0.6 if rig.sends[-1].server == 1 else 0.1)
     late = Counter(s.server for s in rig.sends[-40:])
     assert late[1] < min(late[n] for n in (2, 3, 4))
 
 
-def test_no_more_is_out_at_a_server_than_part_of_the_aim_does() -> None:
+def test_attempts_in_flight_at_a_server_take_no_more_than_part_of_the_aim() -> None:
     rig = GatewayRig(free(), servers=1)
     for _ in range(5):
-        rig.at(rig.now + 0.3)
-        serve(rig)
-    verdicts = [rig.ask(customer=n) for n in range(20)]
+        rig.advance_to(rig.now + 0.3)
+        serve_one(rig)
+    verdicts = [rig.request(account=n) for n in range(20)]
     assert 1 <= verdicts.count("sent") <= 4
 
 
 def test_overload_sheds_the_low_worth_first() -> None:
-    classes = (i.RequestClass(aim=2.0, deadline=4.0), i.RequestClass(2.0, 4.0, worth=9.0))
+    classes = (interface.RequestClass(aim=2.0, deadline=4.0), interface.RequestClass(2.0, 4.0, worth=9.0))
     rig = GatewayRig(free(classes=classes))
     for _ in range(20):
-        rig.at(rig.now + 0.1)
-        serve(rig, took=1.1)
+        rig.advance_to(rig.now + 0.1)
+        serve_one(rig, took=1.1)
     got: Counter[int] = Counter()
     for n in range(60):
-        rig.at(rig.now + 0.04)
-        got[n % 2] += rig.ask(customer=n, cls=n % 2) == "sent"
+        rig.advance_to(rig.now + 0.04)
+        got[n % 2] += rig.request(account=n, cls=n % 2) == "sent"
     assert got[1] > got[0]
 
 
-def test_no_server_holds_a_request_for_half_its_aim_then_refuses() -> None:
+def test_without_servers_a_request_is_held_for_half_its_aim_then_refused() -> None:
     rig = GatewayRig(free(), servers=0)
-    assert rig.ask() == "waiting"
-    rig.at(0.3)
-    assert rig.last() == "waiting"
-    rig.at(0.5)
-    assert rig.last() == "refused"
-    assert rig.ask() == "waiting"
-    rig.give(i.ServerList(i.ListKind.CHANGES, (entry(1),)))
-    assert rig.last() == "sent"
+    assert rig.request() == "waiting"
+    rig.advance_to(0.3)
+    assert rig.last_state() == "waiting"
+    rig.advance_to(0.5)
+    assert rig.last_state() == "refused"
+    assert rig.request() == "waiting"
+    rig.feed(interface.ServerList(interface.ListKind.CHANGES, (entry(1),)))
+    assert rig.last_state() == "sent"
 
 
-def test_work_whose_client_left_is_cancelled() -> None:
+def test_attempts_whose_client_left_are_cancelled() -> None:
     gateway = Gateway(free(cancel=True), 1)
-    gateway.handle(0.0, [i.ServerList(i.ListKind.WHOLE, (entry(1), entry(2)))])
-    assert any(isinstance(a, i.Send) for a in gateway.handle(0.1, [i.Request(1, 0, 0, 5, 2.0)]))
-    assert i.Cancel(1, 0) in gateway.handle(0.9, [i.ClientGone(1)])
+    gateway.handle(0.0, [interface.ServerList(interface.ListKind.WHOLE, (entry(1), entry(2)))])
+    assert any(
+        isinstance(a, interface.Send) for a in gateway.handle(0.1, [interface.Request(1, 0, 0, 5, 2.0)])
+    )
+    assert interface.Cancel(1, 0) in gateway.handle(0.9, [interface.ClientGone(1)])
 
 
 @pytest.mark.parametrize("spread", ["even", "uneven"])
@@ -184,28 +206,33 @@
 def test_where_most_servers_are_cold_they_bear_their_part_and_not_the_warm_ones_all() -> None:
     # Six in ten replaced within seconds: drawn by chance over all, they were sent an eighth of a warm one's
     # part while the warm ones were overrun and shed.
-    gateway = Gateway(settings(counter=False, plans=(i.Plan(),), cold=16.0, cold_from=0.15, fall=1.5,
-                               fall_multiple=2.5), 1)  # fmt: skip
-    lines = tuple(entry(n, started=96.0 if n <= 36 else 0.0) for n in range(1, 61))  # at 0.36 of a whole one
-    gateway.handle(100.0, [i.ServerList(i.ListKind.WHOLE, lines)])
+    gateway = Gateway(
+        settings(
+            counter=False, plans=(interface.Plan(),), cold=16.0, cold_from=0.15, fall=1.5, fall_multiple=2.5
+        ),
+        1,
+    )
+    # The cold ones are at 0.36 of a whole one.
+    entries = tuple(entry(n, started=96.0 if n <= 36 else 0.0) for n in range(1, 61))
+    gateway.handle(100.0, [interface.ServerList(interface.ListKind.WHOLE, entries)])
     sent = [0, 0]
     for n in range(4000):
-        for a in gateway.handle(100.0, [i.Request(n, 0, 0, n, 2.0)]):
-            if isinstance(a, i.Send):
-                sent[a.server <= 36] += 1
-                gateway.handle(100.0, [i.Outcome(n, 0, a.server, i.End.OK, 0.1, True)])
+        for action in gateway.handle(100.0, [interface.Request(n, 0, 0, n, 2.0)]):
+            if isinstance(action, interface.Send):
+                sent[action.server <= 36] += 1
+                gateway.handle(100.0, [interface.Outcome(n, 0, action.server, interface.End.OK, 0.1, True)])
     warm, cold = sent[0] / 24, sent[1] / 36
     assert 0.28 * warm < cold < 0.45 * warm
 
 
-def work_done(servers: int, idle: int, monkeypatch: pytest.MonkeyPatch) -> int:
+def decision_cost(servers: int, idle: int, monkeypatch: pytest.MonkeyPatch) -> int:
     """Servers looked at and customers brought up to date for 200 requests and their housekeeping."""
-    rig = GatewayRig(settings(plans=(i.Plan(rate=50.0, burst=100.0),)), servers=servers)
+    rig = GatewayRig(settings(plans=(interface.Plan(rate=50.0, burst=100.0),)), servers=servers)
     for n in range(idle):
-        rig.ask(customer=10_000 + n)
-        if rig.last() == "sent":
+        rig.request(account=10_000 + n)
+        if rig.last_state() == "sent":
             rig.finish()
-    rig.at(rig.now + 2.0)
+    rig.advance_to(rig.now + 2.0)
     done = 0
 
     def counted(real: Callable[..., float | None]) -> Callable[..., float | None]:
@@ -219,59 +246,59 @@
     monkeypatch.setattr(Gateway, "capacity", counted(Gateway.capacity))
     monkeypatch.setattr(Account, "advance", counted(Account.advance))
     for n in range(200):
-        rig.at(rig.now + 0.01)
-        if rig.ask(customer=n % 20) == "sent":
+        rig.advance_to(rig.now + 0.01)
+        if rig.request(account=n % 20) == "sent":
             rig.finish()
     monkeypatch.undo()
     return done
 
 
-def test_the_cost_of_a_decision_does_not_grow_with_servers_or_idle_customers(
+def test_the_cost_of_a_decision_does_not_grow_with_servers_or_idle_accounts(
         monkeypatch: pytest.MonkeyPatch) -> None:  # fmt: skip
-    small = work_done(10, 10, monkeypatch)
+    small = decision_cost(10, 10, monkeypatch)
     assert small >= 200
-    assert work_done(1000, 10, monkeypatch) <= 1.2 * small
-    assert work_done(10, 2000, monkeypatch) <= 1.2 * small
+    assert decision_cost(1000, 10, monkeypatch) <= 1.2 * small
+    assert decision_cost(10, 2000, monkeypatch) <= 1.2 * small
 
 
-def test_pressed_counter_is_not_asked_again_for_who_was_refused_just_now() -> None:
+def test_an_overloaded_counter_is_not_called_again_for_an_account_just_refused() -> None:
     rig = GatewayRig(settings())
-    assert [rig.ask(units=4.0) for _ in range(2)] == ["sent", "sent"]
+    assert [rig.request(units=4.0) for _ in range(2)] == ["sent", "sent"]
     rig.gateway.call_failed()  # one failure: pressed
-    before = rig.calls
-    assert [rig.ask(units=4.0) for _ in range(20)] == ["refused"] * 20
-    assert rig.calls <= before + 3
+    before = rig.call_count
+    assert [rig.request(units=4.0) for _ in range(20)] == ["refused"] * 20
+    assert rig.call_count <= before + 3
 
 
-def test_a_crowded_counter_is_asked_for_a_smaller_share_and_again_when_it_answers() -> None:
+def test_an_overloaded_counter_is_called_for_a_smaller_share_until_it_recovers() -> None:
     rig = GatewayRig(settings(), answering=False)
     for n in range(40):
-        rig.ask(customer=n, step=0.04)
+        rig.request(account=n, step=0.04)
         rig.answer_all(0.0)  # an answer, but late
-        if rig.last() == "sent":
+        if rig.last_state() == "sent":
             rig.finish()
-    few = rig.calls
+    few = rig.call_count
     for n in range(40, 80):
-        rig.ask(customer=n, step=0.04)
+        rig.request(account=n, step=0.04)
         rig.answer_all(0.0)
-        if rig.last() == "sent":
+        if rig.last_state() == "sent":
             rig.finish()
-    assert rig.calls - few <= 8
+    assert rig.call_count - few <= 8
     rig.answering = True
     for n in range(100, 400):
-        rig.at(rig.now + 0.04)
-        rig.ask(customer=n)
-        if rig.last() == "sent":
+        rig.advance_to(rig.now + 0.04)
+        rig.request(account=n)
+        if rig.last_state() == "sent":
             rig.finish()
     assert rig.gateway.call_share == 1.0
 
 
-def test_what_is_let_in_without_a_crowded_counter_is_added_by_the_next_call() -> None:
-    rig = GatewayRig(settings(plans=(i.Plan(rate=200.0, burst=2000.0),)))
+def test_units_admitted_without_the_overloaded_counter_are_added_by_the_next_call() -> None:
+    rig = GatewayRig(settings(plans=(interface.Plan(rate=200.0, burst=2000.0),)))
     for _ in range(400):
         rig.gateway.call_share, rig.gateway.call_share_at = 0.5, rig.now
-        rig.at(rig.now + 0.001)
-        assert rig.ask() == "sent"
+        rig.advance_to(rig.now + 0.001)
+        assert rig.request() == "sent"
         rig.finish(took=0.001)
     assert sum(rig.totals.values()) == pytest.approx(400, abs=8), "exactly, not by standing for others"
 
@@ -279,20 +306,20 @@
 def test_a_share_below_one_request_is_granted_by_chance_and_the_refusal_holds() -> None:
     # No counter answer, 200 gateways: one customer's tries are neither all let in nor tried till let in.
     rig = GatewayRig(settings(gateways=200), answering=False)
-    gate = rig.gateway
-    gate.call_share, gate.counter_quick, gate.admit_shares = 0.0, False, [0.5, 0.5]
-    verdicts = [rig.ask(customer=n, spread=200, units=2.0) for n in range(60)]
+    gateway = rig.gateway
+    gateway.call_share, gateway.counter_quick, gateway.admit_shares = 0.0, False, [0.5, 0.5]
+    verdicts = [rig.request(account=n, spread=200, units=2.0) for n in range(60)]
     assert 10 < verdicts.count("sent") < 50
     refused = verdicts.index("refused")
-    assert [rig.ask(customer=refused, spread=200, units=2.0) for _ in range(15)] == ["refused"] * 15
+    assert [rig.request(account=refused, spread=200, units=2.0) for _ in range(15)] == ["refused"] * 15
 
 
-def test_customers_seen_once_leave() -> None:
+def test_accounts_seen_once_are_dropped() -> None:
     rig = GatewayRig(free())
     for n in range(3000):
-        rig.ask(customer=n)
+        rig.request(account=n)
         rig.finish()
-    rig.at(200.0)
+    rig.advance_to(200.0)
     assert len(rig.gateway.accounts) == 0
     assert len(rig.gateway.requests) == 0
     assert not any(s.in_flight for s in rig.gateway.servers.values())
@@ -301,10 +328,15 @@
 def test_events_about_unknown_things_are_harmless() -> None:
     gateway = Gateway(settings(), 1)
     gateway.handle(0.0, [])
-    events: list[i.Event] = [
-              i.Outcome(9, 0, 9, i.End.OK, 0.1), i.ClientGone(9), i.TimerFired(123456), i.PeerSaid(1, b"x"),
-              i.Counted(9, 0.1, i.End.OK, 5.0), i.StreamStarted(9, 0, 9, 0.1),
-              i.Probed(9, i.End.OK, 0.1)]  # fmt: skip
+    events: list[interface.Event] = [
+        interface.Outcome(9, 0, 9, interface.End.OK, 0.1),
+        interface.ClientGone(9),
+        interface.TimerFired(123456),
+        interface.PeerSaid(1, b"x"),
+        interface.Counted(9, 0.1, interface.End.OK, 5.0),
+        interface.StreamStarted(9, 0, 9, 0.1),
+        interface.Probed(9, interface.End.OK, 0.1),
+    ]
     assert gateway.handle(0.1, events) == []
 
 
@@ -313,9 +345,9 @@
     [
         ({"classes": ()}, "classes"),
         ({"plans": ()}, "plans"),
-        ({"plans": (i.Plan(rate=-1.0),)}, "plans[0].rate"),
-        ({"plans": (i.Plan(rate=1.0),)}, "plans[0].burst"),
-        ({"classes": (i.RequestClass(0.0, 1.0),)}, "classes[0].aim"),
+        ({"plans": (interface.Plan(rate=-1.0),)}, "plans[0].rate"),
+        ({"plans": (interface.Plan(rate=1.0),)}, "plans[0].burst"),
+        ({"classes": (interface.RequestClass(0.0, 1.0),)}, "classes[0].aim"),
         ({"gateways": 0}, "gateways"),
     ],
 )
@@ -336,23 +368,23 @@
     assert lines[0].startswith('"""')
 
 
-def test_what_ends_late_is_shed_more_and_more_and_less_again() -> None:
+def test_shedding_grows_while_requests_end_late_and_shrinks_again() -> None:
     # Clients give up early and repeat: half of what is sent ends late, though each takes less than the aim.
     rig = GatewayRig(free())
     for n in range(400):
-        rig.at(rig.now + 0.05)
-        if rig.ask(customer=n, budget=0.3) == "sent":
-            rig.at(rig.now + 0.3 * (n % 2))
-            rig.finish(i.End.TIMEOUT if n % 2 else i.End.OK, took=0.1)
+        rig.advance_to(rig.now + 0.05)
+        if rig.request(account=n, budget=0.3) == "sent":
+            rig.advance_to(rig.now + 0.3 * (n % 2))
+            rig.finish(interface.End.TIMEOUT if n % 2 else interface.End.OK, took=0.1)
     assert rig.gateway.shed > 0.4
     for n in range(400, 800):
-        rig.at(rig.now + 0.05)
-        if rig.ask(customer=n) == "sent":
+        rig.advance_to(rig.now + 0.05)
+        if rig.request(account=n) == "sent":
             rig.finish()
     assert rig.gateway.shed == 0.0
 
 
-def pressed_and_overloaded() -> GatewayRig:
+def overloaded_after_counter_failure() -> GatewayRig:
     """A gateway whose counter has just failed once, and which sheds nearly all."""
     rig = GatewayRig(settings())
     rig.gateway.call_failed()
@@ -361,106 +393,109 @@
     return rig
 
 
-def test_a_pressed_counter_is_not_asked_for_what_overload_sheds() -> None:
-    rig = pressed_and_overloaded()
-    before = rig.calls
-    verdicts = [rig.ask(customer=n) for n in range(60)]
+def test_an_overloaded_counter_is_not_called_for_requests_that_are_shed() -> None:
+    rig = overloaded_after_counter_failure()
+    before = rig.call_count
+    verdicts = [rig.request(account=n) for n in range(60)]
     assert verdicts.count("refused") > 45
-    assert rig.calls - before <= 2 * verdicts.count("sent")
+    assert rig.call_count - before <= 2 * verdicts.count("sent")
 
 
-@pytest.mark.parametrize(("servers", "spared"), [(60, True), (4, False)])
-def test_an_error_is_believed_at_once_where_a_server_is_met_rarely(servers: int, spared: bool) -> None:
+@pytest.mark.parametrize(("servers", "ejected"), [(60, True), (4, False)])
+def test_one_error_ejects_a_server_that_is_rarely_used(servers: int, ejected: bool) -> None:
     # One of forty gateways meets each of 60 servers once in seconds: three errors in a row never came about.
-    rig = GatewayRig(settings(counter=False, plans=(i.Plan(),)), servers=servers)
+    rig = GatewayRig(settings(counter=False, plans=(interface.Plan(),)), servers=servers)
     for n in range(200):
-        rig.at(n * 0.2)
-        rig.ask(customer=n)
+        rig.advance_to(n * 0.2)
+        rig.request(account=n)
         rig.finish(took=0.02)
-    rig.ask()
+    rig.request()
     bad = rig.sends[-1].server
-    rig.finish(i.End.ERROR)
+    rig.finish(interface.End.ERROR)
     rig.finish()
-    ill = rig.gateway.servers[bad].failures[0]
-    assert (ill[1] > rig.now + 1.0) is spared
+    failure = rig.gateway.servers[bad].failures[0]
+    assert (failure[1] > rig.now + 1.0) is ejected
 
 
 def test_a_kept_connection_is_preferred_to_opening_one() -> None:
     # Forty gateways with little traffic opened one for every second order; each costs a server work.
-    rig = GatewayRig(settings(counter=False, plans=(i.Plan(),)), servers=2)
+    rig = GatewayRig(settings(counter=False, plans=(interface.Plan(),)), servers=2)
     rig.gateway.servers[2].connection_used_at = rig.now
     for n in range(5):
-        rig.ask(customer=n)
+        rig.request(account=n)
         rig.finish()
         assert rig.sends[-1].server == 2
 
 
-def test_who_sheds_all_finds_out_that_the_load_is_over() -> None:
+def test_a_gateway_that_sheds_all_notices_the_end_of_the_load() -> None:
     # With nothing sent on nothing new is learnt: late answers of a burst kept one of forty gateways shedding
     # nearly all for ten seconds after the servers were idle.
-    rig = GatewayRig(settings(counter=False, plans=(i.Plan(),)))
+    rig = GatewayRig(settings(counter=False, plans=(interface.Plan(),)))
     gateway = rig.gateway
     gateway.shed, gateway.answered, gateway.aim_ratios, gateway.late, gateway.overdue = (
         0.95, 16.0, 14.0, 8.0, 6.0)  # fmt: skip
     gateway.mean_aim_ratio, gateway.loss_share, gateway.decayed_at = 0.9, 0.3, rig.now
     for n in range(56):  # 8 a second for 7 s
-        rig.at(n / 8)
-        if rig.ask(customer=n) == "sent":
-            rig.end_in(0.16)
+        rig.advance_to(n / 8)
+        if rig.request(account=n) == "sent":
+            rig.finish_in(0.16)
     assert gateway.shed < 0.4
 
 
-def test_a_pressed_counter_is_asked_first_for_what_is_worth_most() -> None:
-    plans = (i.Plan(rate=100.0, burst=1000.0, price=0.5), i.Plan(rate=100.0, burst=1000.0, price=1.6))
+def test_an_overloaded_counter_is_called_first_for_what_is_worth_most() -> None:
+    plans = (
+        interface.Plan(rate=100.0, burst=1000.0, price=0.5),
+        interface.Plan(rate=100.0, burst=1000.0, price=1.6),
+    )
     rig = GatewayRig(settings(plans=plans))
     asked = [0, 0]
     for n in range(600):
-        rig.gateway.call_share, rig.gateway.counter_quick, before = 0.4, False, rig.calls
-        rig.ask(customer=n % 2, plan=n % 2, units=1.0 + n % 2)
+        rig.gateway.call_share, rig.gateway.counter_quick, before = 0.4, False, rig.call_count
+        rig.request(account=n % 2, plan=n % 2, units=1.0 + n % 2)
         rig.finish()
-        asked[n % 2] += rig.calls > before
+        asked[n % 2] += rig.call_count > before
     assert asked[1] > 1.5 * asked[0] > 0
 
 
-def test_a_gateway_with_little_traffic_asks_a_calm_counter_again_within_seconds() -> None:
+def test_a_gateway_with_little_traffic_calls_a_recovered_counter_within_seconds() -> None:
     # One of forty has a few answers a second: growing by answers alone, what asks took ten seconds to return.
     rig = GatewayRig(settings())
     rig.gateway.call_failed()
     rig.gateway.call_share = 0.05
     for n in range(16):
-        rig.at(rig.now + 0.25)
-        if rig.ask(customer=n) == "sent":
+        rig.advance_to(rig.now + 0.25)
+        if rig.request(account=n) == "sent":
             rig.finish()
     assert rig.gateway.call_share == 1.0
 
 
-def test_what_overload_sheds_does_not_shut_its_customer_out() -> None:
+def test_a_shed_request_does_not_shut_its_account_out() -> None:
     # Forty gateways meet each customer rarely: a refusal that no total has spoken for is not the next one's.
-    rig = pressed_and_overloaded()
-    refused = [n for n in range(60) if rig.ask(customer=n) == "refused"]
+    rig = overloaded_after_counter_failure()
+    refused = [n for n in range(60) if rig.request(account=n) == "refused"]
     assert len(refused) > 45
     for _ in range(len(rig.sends)):
         rig.finish()
     rig.gateway.shed = rig.gateway.late = rig.gateway.aim_ratios = rig.gateway.overdue = 0.0
     assert rig.gateway.call_share < 1.0  # the counter is still pressed
-    before = rig.calls
+    before = rig.call_count
     for n in refused[:20]:
-        if rig.ask(customer=n) == "sent":
+        if rig.request(account=n) == "sent":
             rig.finish()
-    assert rig.calls - before >= 10
+    assert rig.call_count - before >= 10
 
 
-def test_a_calm_counter_that_is_far_away_is_asked_by_all() -> None:
+def test_a_healthy_counter_that_is_far_away_is_called_for_all() -> None:
     # It stands in another hall: each answer takes over QUICK of the time-out, and none is missed.
     rig = GatewayRig(settings(), answering=False)
     rig.gateway.call_failed()
     for n in range(200):
-        rig.at(rig.now + 0.03)
-        rig.ask(customer=n)
-        counts, rig.counts = rig.counts, []
+        rig.advance_to(rig.now + 0.03)
+        rig.request(account=n)
+        counts, rig.open_calls = rig.open_calls, []
         for c in counts:
-            rig.give(replace(rig.answer(c), took=0.018))
-        if rig.last() == "sent":
+            rig.feed(replace(rig.answer(c), took=0.018))
+        if rig.last_state() == "sent":
             rig.finish()
     assert rig.gateway.call_share == 1.0
 
@@ -473,11 +508,11 @@
     kept: dict[int, float] = {}  # since when idle
     ends = {(kind, late): [0, 0] for kind in ("kept", "new", "busy") for late in (False, True)}
     for n in range(600):
-        rig.at(rig.now + 0.1)
-        closed = len(rig.closed)
-        assert rig.ask(customer=n) == "sent"
+        rig.advance_to(rig.now + 0.1)
+        closed = len(rig.closed_servers)
+        assert rig.request(account=n) == "sent"
         server = rig.sends[-1].server
-        for key in rig.closed[closed:]:
+        for key in rig.closed_servers[closed:]:
             kept.pop(key, None)
         idle = rig.now - kept.get(server, -math.inf)  # after 15 s it is closed
         kind = "new" if idle >= 15 else "kept" if idle >= 0 else "busy"
@@ -488,11 +523,11 @@
         if lost:
             del kept[server]
         took = 2.0 if lost else 1.2 if trouble == "late" and n % 20 == 0 else 0.08
-        rig.end_in(took, i.End.TIMEOUT if lost else i.End.OK)
+        rig.finish_in(took, interface.End.TIMEOUT if lost else interface.End.OK)
     if trouble == "kept":
         assert ends["kept", True][1] <= 3 and ends["new", True][0] > 300
     else:  # nothing is gained by new connections, so the kept ones are used
-        assert len(rig.closed) < (200 if trouble == "all" else 1) and ends["kept", True][0] > 100
+        assert len(rig.closed_servers) < (200 if trouble == "all" else 1) and ends["kept", True][0] > 100
 
 
 @pytest.mark.parametrize(("answers", "sheds"), [("quick", False), ("slow", True), ("none", True)])
@@ -500,147 +535,154 @@
     # One in three attempts is never answered; the others in a tenth of the aim, in half of it, or not either.
     rig = GatewayRig(free(max_attempts=1), servers=40)
     for n in range(600):
-        rig.at(rig.now + 0.05)
-        if rig.ask(customer=n) == "sent":
+        rig.advance_to(rig.now + 0.05)
+        if rig.request(account=n) == "sent":
             lost = n % 3 == 0 or answers == "none"
             took = 2.0 if lost else 0.08 if answers == "quick" else 0.4
-            rig.end_in(took, i.End.TIMEOUT if lost else i.End.OK)
+            rig.finish_in(took, interface.End.TIMEOUT if lost else interface.End.OK)
     sent = sum(s.request > 300 for s in rig.sends)
     assert sent < 100 if sheds else sent > 290 and rig.gateway.shed == 0
 
 
-def test_what_is_shed_is_told_when_to_come_back_and_not_all_at_once() -> None:
+def test_shed_requests_are_told_to_retry_at_different_times() -> None:
     rig = GatewayRig(settings(counter=False))
     rig.gateway.shed = 0.95
     rig.gateway.late = rig.gateway.answered = 50.0
     while len(rig.refusals) < 50:
-        rig.ask(customer=rig.next)
+        rig.request(account=rig.request_number)
     waits = [r.retry_after for r in rig.refusals]
     assert min(waits) > 0.1 and max(waits) < 0.4 and len(set(waits)) > 40
     rig.gateway.shed, calm = 0.05, len(rig.refusals)
     rig.gateway.late = 0.0
     while len(rig.refusals) < calm + 5:
-        rig.ask(customer=rig.next)
+        rig.request(account=rig.request_number)
     assert max(r.retry_after for r in rig.refusals[calm:]) < min(waits)
 
 
-UNSAFE = (i.RequestClass(aim=0.8, deadline=2.0, effect=i.Effect.UNSAFE),)
+UNSAFE = (interface.RequestClass(aim=0.8, deadline=2.0, effect=interface.Effect.UNSAFE),)
 
 
 @pytest.mark.parametrize("path", ["quota", "counter silent", "shed", "no server fits", "budget spent",
                                   "attempts spent", "may have run", "moot", "no server listed"])  # fmt: skip
-def test_what_is_given_up_gets_its_final_answer_at_once(path: str) -> None:
+def test_a_request_given_up_gets_its_final_answer_at_once(path: str) -> None:
     counts = path in ("quota", "counter silent")
-    s = settings(max_attempts=2) if counts else free(max_attempts=2)
-    s = replace(s, classes=UNSAFE) if path == "may have run" else s
-    rig = GatewayRig(s, servers=path != "no server listed")
+    config = settings(max_attempts=2) if counts else free(max_attempts=2)
+    config = replace(config, classes=UNSAFE) if path == "may have run" else config
+    rig = GatewayRig(config, servers=path != "no server listed")
     rig.answering = path != "counter silent"
     final = "failed" if path == "may have run" else "refused"
     if counts:
         verdicts = []
         for _ in range(12):  # a silent counter is waited for once, for 30 ms
-            verdicts.append(rig.ask(step=0.0 if path == "quota" else 0.035))
+            verdicts.append(rig.request(step=0.0 if path == "quota" else 0.035))
             if verdicts[-1] == "sent":
                 rig.finish()
         assert set(verdicts) == {"sent", final}
     elif path == "shed":
         rig.gateway.shed, rig.gateway.late, rig.gateway.answered = 0.95, 50.0, 50.0
-        assert final in [rig.ask(customer=n) for n in range(20)]
+        assert final in [rig.request(account=n) for n in range(20)]
     elif path == "no server fits":
-        assert [rig.ask(customer=n) for n in range(9)][-1] == final
+        assert [rig.request(account=n) for n in range(9)][-1] == final
     elif path == "no server listed":  # it waits for one for half its aim, and no longer
-        assert rig.ask() == "waiting"
-        rig.at(0.5)
-        assert rig.last() == final
+        assert rig.request() == "waiting"
+        rig.advance_to(0.5)
+        assert rig.last_state() == final
     else:
         rig.gateway.retry_budget = 0.0 if path == "budget spent" else 9.0
-        assert rig.ask() == "sent"
+        assert rig.request() == "sent"
         if path == "attempts spent":
-            rig.finish(i.End.ERROR)
-            assert rig.last() == "sent"
+            rig.finish(interface.End.ERROR)
+            assert rig.last_state() == "sent"
         before = rig.now
-        rig.finish({"budget spent": i.End.FULL, "moot": i.End.MOOT}.get(path, i.End.ERROR))
-        assert rig.last() == final and rig.now == before
+        rig.finish(
+            {"budget spent": interface.End.FULL, "moot": interface.End.MOOT}.get(path, interface.End.ERROR)
+        )
+        assert rig.last_state() == final and rig.now == before
     if final == "refused":
         assert rig.refusals[-1].retry_after >= (rig.gateway.settings.tick if counts else 0.02)
 
 
-def test_what_sound_servers_have_no_room_for_is_not_sent_to_one_that_fails() -> None:
+def test_what_healthy_servers_have_no_room_for_is_not_sent_to_an_ejected_one() -> None:
     # Guards against a server that is quick to fail: ejected, it still got nine attempts of ten in overload.
-    rig = GatewayRig(settings(plans=(i.Plan(rate=1000.0, burst=1000.0),)), servers=2)
-    rig.at(5.0)
+    rig = GatewayRig(settings(plans=(interface.Plan(rate=1000.0, burst=1000.0),)), servers=2)
+    rig.advance_to(5.0)
     rig.gateway.servers[2].failures = {0: [1.0, 1e9, 8.0]}
-    while rig.ask(customer=rig.next) == "sent":
-        assert rig.next < 100
+    while rig.request(account=rig.request_number) == "sent":
+        assert rig.request_number < 100
     assert {send.server for send in rig.sends} == {1} and len(rig.sends) > 2
     # With all of them ejected, any is better than none.
     rig.gateway.servers[1].failures = {0: [1.0, 1e9, 8.0]}
     rig.gateway.servers[1].in_flight.clear()
     rig.gateway.shed = rig.gateway.in_flight_aims = 0.0
-    assert rig.ask(customer=0) == "sent"
+    assert rig.request(account=0) == "sent"
 
 
 @pytest.mark.parametrize("price", [0.02, 0.0])
-def test_a_priced_crossing_of_halls_is_made_only_where_the_own_hall_has_no_room(price: float) -> None:
+def test_a_priced_zone_crossing_is_made_only_where_the_own_zone_has_no_room(price: float) -> None:
     rig = GatewayRig(free(zone=1, cross_zone_price=price), servers=0)
-    rig.give(i.ServerList(i.ListKind.WHOLE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
+    rig.feed(
+        interface.ServerList(interface.ListKind.WHOLE, tuple(entry(n, zone=n % 3) for n in range(1, 10)))
+    )
     for _ in range(90):  # light: one at a time
-        rig.at(rig.now + 0.05)
-        serve(rig)
+        rig.advance_to(rig.now + 0.05)
+        serve_one(rig)
     own = sum(s.server % 3 == 1 for s in rig.sends) / len(rig.sends)
     assert own > 0.9 if price else 0.2 < own < 0.5
     # Busy: what the own hall has no room for goes to the others, and nothing is refused.
-    verdicts = [rig.ask(customer=500 + n) for n in range(24)]
+    verdicts = [rig.request(account=500 + n) for n in range(24)]
     crossed = {s.server % 3 for s in rig.sends[-verdicts.count("sent") :]}
     assert verdicts.count("sent") == 24 and crossed == {0, 1, 2}
 
 
-def test_a_calm_counter_is_not_asked_for_who_repeats_before_the_store_has_room() -> None:
+def test_a_healthy_counter_is_not_called_for_repeats_before_the_bucket_has_room() -> None:
     rig = GatewayRig(settings())
-    assert [rig.ask(units=4.0) for _ in range(2)] == ["sent", "sent"]
-    assert rig.ask(units=4.0) == "refused"  # by the counter's total: added and taken back
-    before = rig.calls
-    assert [rig.ask(units=4.0, step=0.01) for _ in range(20)] == ["refused"] * 20
-    assert rig.calls == before
-    rig.at(rig.now + 2.5)  # the store has room again for one: the counter is asked once more
-    rig.ask(units=4.0)
-    assert rig.calls > before
+    assert [rig.request(units=4.0) for _ in range(2)] == ["sent", "sent"]
+    assert rig.request(units=4.0) == "refused"  # by the counter's total: added and taken back
+    before = rig.call_count
+    assert [rig.request(units=4.0, step=0.01) for _ in range(20)] == ["refused"] * 20
+    assert rig.call_count == before
+    rig.advance_to(rig.now + 2.5)  # the store has room again for one: the counter is asked once more
+    rig.request(units=4.0)
+    assert rig.call_count > before
 
 
-def test_who_was_refused_lately_is_let_in_as_its_store_has_room_though_the_counter_is_pressed() -> None:
+def test_a_refused_account_is_admitted_as_its_bucket_has_room_though_the_counter_is_overloaded() -> None:
     rig = GatewayRig(settings())
     for _ in range(2):
-        assert rig.ask(units=4.0) == "sent"
+        assert rig.request(units=4.0) == "sent"
         rig.finish()
-    assert rig.ask(units=4.0) == "refused"
+    assert rig.request(units=4.0) == "refused"
     rig.gateway.call_share, rig.gateway.counter_quick = 0.3, False
-    assert rig.ask(units=1.0) == "refused"
-    rig.at(rig.now + 0.9)  # 1.8 units have come back; the refusal is a quarter of a window old in 0.1 s
-    assert rig.ask(units=1.0) == "sent"
+    assert rig.request(units=1.0) == "refused"
+    # 1.8 units have come back; the refusal is a quarter of a window old in 0.1 s.
+    rig.advance_to(rig.now + 0.9)
+    assert rig.request(units=1.0) == "sent"
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
 def test_a_server_that_starts_while_we_serve_is_cold_whatever_the_clocks_say(step: float) -> None:
     # Our clock is an hour ahead of the list's, or an hour behind it.
     rig = GatewayRig(free(cold=16.0, cold_from=0.15), servers=3)
-    rig.at(10_000.0)
-    rig.give(i.ServerList(i.ListKind.CHANGES, (entry(4, started=rig.now - step),)))
-    gate = rig.gateway
-    assert gate.capacity(gate.servers[4]) == pytest.approx(0.15)
-    rig.at(rig.now + 8.0)
-    rig.give(i.ServerList(i.ListKind.CHANGES, ()))
-    assert gate.capacity(gate.servers[4]) == pytest.approx(0.575)
-    rig.give(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(4, i.Health.GONE),)))
-    rig.give(i.ServerList(i.ListKind.CHANGES, (entry(4, started=10_000.0 - step),)))
-    rig.at(rig.now + 8.0)
-    rig.give(i.ServerList(i.ListKind.CHANGES, ()))
+    rig.advance_to(10_000.0)
+    rig.feed(interface.ServerList(interface.ListKind.CHANGES, (entry(4, started=rig.now - step),)))
+    gateway = rig.gateway
+    assert gateway.capacity(gateway.servers[4]) == pytest.approx(0.15)
+    rig.advance_to(rig.now + 8.0)
+    rig.feed(interface.ServerList(interface.ListKind.CHANGES, ()))
+    assert gateway.capacity(gateway.servers[4]) == pytest.approx(0.575)
+    rig.feed(
+        interface.ServerList(interface.ListKind.CHANGES, (interface.ServerEntry(4, interface.Health.GONE),))
+    )
+    rig.feed(interface.ServerList(interface.ListKind.CHANGES, (entry(4, started=10_000.0 - step),)))
+    rig.advance_to(rig.now + 8.0)
+    rig.feed(interface.ServerList(interface.ListKind.CHANGES, ()))
     # Named again under a start that is known: by our clock's word it is long warm, or still to start.
-    assert gate.capacity(gate.servers[4]) == (1.0 if step > 0 else pytest.approx(0.575))
+    assert gateway.capacity(gateway.servers[4]) == (1.0 if step > 0 else pytest.approx(0.575))
 
 
 def test_servers_of_the_first_list_are_as_old_as_it_says() -> None:
-    gate = Gateway(free(cold=16.0, cold_from=0.15), 1)
-    gate.handle(10_000.0, [i.ServerList(i.ListKind.CACHED, (entry(1, started=5_000.0),))])
+    gateway = Gateway(free(cold=16.0, cold_from=0.15), 1)
+    gateway.handle(10_000.0, [interface.ServerList(interface.ListKind.CACHED, (entry(1, started=5_000.0),))])
     both = entry(1, started=5_000.0), entry(2, started=5_000.0)
-    gate.handle(10_000.1, [i.ServerList(i.ListKind.WHOLE, both)])
-    assert [gate.capacity(s) for s in gate.servers.values()] == [1.0, 1.0]
+    gateway.handle(10_000.1, [interface.ServerList(interface.ListKind.WHOLE, both)])
+    assert [gateway.capacity(s) for s in gateway.servers.values()] == [1.0, 1.0]
--- a/tests/test_three_halls.py
+++ b/tests/test_three_halls.py
@@ -140,14 +140,14 @@
 def test_a_keyed_order_is_repeated_in_its_hall_and_within_its_window_only(after: float, again: bool) -> None:
     for seed in range(30):
         rig = GatewayRig(replace(HALLS, counter=False, plans=(i.Plan(),)), servers=0, seed=seed)
-        rig.give(i.ServerList(i.ListKind.WHOLE, NODES))
-        assert rig.ask(budget=4.0, cls=ORDER) == "sent"
-        rig.at(rig.now + after)
+        rig.feed(i.ServerList(i.ListKind.WHOLE, NODES))
+        assert rig.request(budget=4.0, cls=ORDER) == "sent"
+        rig.advance_to(rig.now + after)
         rig.finish(i.End.RESET, took=after)
         nodes = [s.server for s in rig.sends]
         assert len(nodes) == 1 + again and len({n % 3 for n in nodes}) == 1
         # No 429 where it is not sent again: a repeat in another hall would run once more.
-        assert rig.last() == ("sent" if again else "failed")
+        assert rig.last_state() == ("sent" if again else "failed")
 
 
 def test_a_pressed_counter_is_spared_and_the_quota_still_holds() -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -319,32 +319,32 @@
 def halls(**changes: object) -> GatewayRig:
     told = settings(counter=False, plans=(i.Plan(),), classes=TWO, cancel=True, **changes)
     rig = GatewayRig(told, servers=0)
-    rig.give(i.ServerList(i.ListKind.WHOLE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
+    rig.feed(i.ServerList(i.ListKind.WHOLE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
     return rig
 
 
 def met(rig: GatewayRig, asks: int, cls: int = 0) -> list[int]:
     before = len(rig.sends)
     for _ in range(asks):
-        rig.at(rig.now + 0.05)
-        assert rig.ask(customer=rig.next, cls=cls) == "sent"
+        rig.advance_to(rig.now + 0.05)
+        assert rig.request(account=rig.request_number, cls=cls) == "sent"
         rig.finish()
     return [s.server % 3 for s in rig.sends[before:]]
 
 
 def test_a_zone_that_is_left_gets_nothing_and_a_returning_one_its_share() -> None:
     rig = halls()
-    rig.give(i.ZoneShare(1, 0.0))
+    rig.feed(i.ZoneShare(1, 0.0))
     assert 1 not in met(rig, 60)
-    rig.give(i.ZoneShare(1, 0.25))
+    rig.feed(i.ZoneShare(1, 0.25))
     assert 0.03 < met(rig, 400).count(1) / 400 < 0.2
-    rig.give(i.ZoneShare(1, 1.0))
+    rig.feed(i.ZoneShare(1, 1.0))
     assert 0.2 < met(rig, 300).count(1) / 300 < 0.5
 
 
 def test_a_trial_takes_one_request_that_may_be_repeated() -> None:
     rig = halls()
-    rig.give(i.ZoneShare(1, 0.0, trial=4))
+    rig.feed(i.ZoneShare(1, 0.0, trial=4))
     assert 1 not in met(rig, 20, cls=1)
     assert met(rig, 20).count(1) == 1
 
@@ -353,21 +353,21 @@
     rig = halls()
     asked = []
     for n in range(24):
-        assert rig.ask(customer=n, cls=n % 2) == "sent"
-        asked.append((rig.next, n % 2, rig.sends[-1].server % 3))
+        assert rig.request(account=n, cls=n % 2) == "sent"
+        asked.append((rig.request_number, n % 2, rig.sends[-1].server % 3))
     before = len(rig.sends)
     cancelled = [
         a.request for a in rig.gateway.handle(rig.now, [i.ZoneShare(1, 0.0)]) if isinstance(a, i.Cancel)
     ]
     assert cancelled == [r for r, cls, hall in asked if hall == 1 and cls == 0] != []
     server = next(s.server for s in rig.sends if s.request == cancelled[0])
-    rig.give(i.Outcome(cancelled[0], 0, server, i.End.CANCELLED, 0.1))
+    rig.feed(i.Outcome(cancelled[0], 0, server, i.End.CANCELLED, 0.1))
     assert [s.request for s in rig.sends[before:]] == [cancelled[0]] and rig.sends[-1].server % 3 != 1
 
 
 def test_all_zones_left_by_mistake_are_all_in_use() -> None:
     rig = halls()
-    rig.give(*(i.ZoneShare(n, 0.0) for n in range(3)))
+    rig.feed(*(i.ZoneShare(n, 0.0) for n in range(3)))
     assert len(met(rig, 30)) == 30
 
 
