--- a/opalgauge/lab/bench_request.py
+++ b/opalgauge/lab/bench_request.py
@@ -24,7 +24,7 @@
 from opalgauge.memory import effects as fx
 from opalgauge.memory import events as ev
 from opalgauge.memory.reducer import Reducer
-from opalgauge.memory.state import House
+from opalgauge.memory.state import IngressConfig
 from opalgauge.wire import quota_counter, stock_nodes
 from opalgauge.wire.clients import Trade, read_order
 from opalgauge.wire.line import MOST_BODY, MOST_TOTAL, LineProtocol, Understand
@@ -41,16 +41,18 @@
 SETTINGS = i.Settings(
     classes=(
         i.RequestClass(0.4, 1.2, 2.0),
-        i.RequestClass(0.8, 3.0, 5.0, effect=i.Effect.UNSAFE),
+        i.RequestClass(0.8, 3.0, 5.0, idempotency=i.Idempotency.UNSAFE),
     ),
     plans=(i.Plan(rate=1e5, burst=1e6),),
-    most_units=4.0,
-    counter=True,
+    max_units=4.0,
+    use_counter=True,
     counter_timeout=0.08,
     max_attempts=4,
-    cancel=True,
+    allow_cancel=True,
+)
+SERVERS = tuple(
+    ev.ListedServer(f"127.0.0.1:{7000 + n}", i.ServerEntry(n, i.Health.READY)) for n in range(1, 5)
 )
-SERVERS = tuple(ev.StockNode(f"127.0.0.1:{7000 + n}", i.ServerEntry(n, i.Health.READY)) for n in range(1, 5))
 COUNTER_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5"
 SERVER_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
@@ -87,8 +89,8 @@
         return False
 
 
-def _sample_request() -> ev.Errand:
-    return ev.Errand("POST", "/place-order/1007/1", "9b1f03aa5c7e2d41", (), b"x" * 64)
+def _sample_request() -> ev.HttpRequest:
+    return ev.HttpRequest("POST", "/place-order/1007/1", "9b1f03aa5c7e2d41", (), b"x" * 64)
 
 
 def _http_in(loop: asyncio.AbstractEventLoop) -> Callable[[int], None]:
@@ -150,7 +152,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.now, self.number = START, 0
         self.reducer = Reducer(
-            House(
+            IngressConfig(
                 SETTINGS, 5, "127.0.0.1:6400", "", 0, SERVERS, timedelta(milliseconds=100),
                 timedelta(seconds=9), timedelta(milliseconds=80), 400, 400, 400, 133,
             )
@@ -165,22 +167,25 @@
             self.number += 1
             number = self.number
             if number == 1:
-                step(ev.ClientCame(1), self.now)
-            taken = ev.OrderTaken(
+                step(ev.ClientConnected(1), self.now)
+            taken = ev.RequestReceived(
                 number, _sample_request(), 1, 0, 1007, timedelta(seconds=2), 1.0, 1, 0, False, 1,
             )  # fmt: skip
             pending = step(taken, self.now)
             while pending:
                 following: list[fx.Effect] = []
                 for effect in pending:
-                    if isinstance(effect, fx.OpenLine):
-                        following += step(ev.LineUp(effect.line), self.now)
+                    if isinstance(effect, fx.OpenConnection):
+                        following += step(ev.ConnectionOpened(effect.connection_id), self.now)
                     elif isinstance(effect, fx.CallCounter):
-                        answer = ev.CounterAnswered(effect.line, i.End.OK, max(1.0, effect.amount), True)
+                        answer = ev.CounterAnswered(
+                            effect.connection_id, i.End.OK, max(1.0, effect.amount), True
+                        )
                         following += step(answer, self.now)
                     elif isinstance(effect, fx.SendAttempt):
                         following += step(
-                            ev.NodeAnswered(effect.line, i.End.OK, True, b"done", "text/plain"), self.now
+                            ev.ServerAnswered(effect.connection_id, i.End.OK, True, b"done", "text/plain"),
+                            self.now,
                         )
                 pending = following
 
@@ -192,7 +197,7 @@
         self.now, self.number, self.total = 1e6, 0, 0.0
         self.gateway = Gateway(SETTINGS, 5)
         self.gateway.handle(
-            self.now, [i.ServerList(i.ListKind.WHOLE, tuple(server.entry for server in SERVERS))]
+            self.now, [i.ServerList(i.ListKind.COMPLETE, tuple(server.entry for server in SERVERS))]
         )
 
     def run(self, count: int) -> None:
@@ -207,7 +212,7 @@
                 for action in actions:
                     if isinstance(action, i.Count):
                         self.total += action.amount
-                        events_in.append(i.Counted(action.name, 0.001, i.End.OK, self.total))
+                        events_in.append(i.CountOutcome(action.name, 0.001, i.End.OK, self.total))
                     elif isinstance(action, i.Send):
                         events_in.append(i.Outcome(self.number, 0, action.server, i.End.OK, 0.005, True))
 
--- a/opalgauge/lab/lease_simulation.py
+++ b/opalgauge/lab/lease_simulation.py
@@ -97,12 +97,12 @@
     def _make_gateway(self, ingress: int) -> Gateway:
         settings = i.Settings(
             classes=(i.RequestClass(1.2, 5.0),), plans=self.gateway_plans,
-            gateways=self.scenario.ingresses, me=ingress, counter=True, counter_timeout=COUNTER_TIMEOUT,
-            most_units=2.0,
+            gateways=self.scenario.ingresses, gateway_index=ingress,
+            use_counter=True, counter_timeout=COUNTER_TIMEOUT, max_units=2.0,
         )  # fmt: skip
         gateway = Gateway(settings, self.scenario.seed * 1000 + ingress + 77 * self.generations[ingress])
         servers = tuple(i.ServerEntry(server, i.Health.READY) for server in range(1, 40))
-        gateway.handle(EPOCH.timestamp() + self.now, [i.ServerList(i.ListKind.WHOLE, servers)])
+        gateway.handle(EPOCH.timestamp() + self.now, [i.ServerList(i.ListKind.COMPLETE, servers)])
         return gateway
 
     def _make_leases(self, ingress: int) -> Leases | None:
@@ -210,7 +210,7 @@
         leases = self.leases[ingress]
         for action in leases.take() if leases is not None else ():
             if isinstance(action, TellTotal):  # in the order of the calls, as events are delivered
-                counted = i.Counted(action.name, action.took.total_seconds(), action.end, action.total)
+                counted = i.CountOutcome(action.name, action.took.total_seconds(), action.end, action.total)
                 self._schedule(self.now, self._deliver_total, ingress, self.generations[ingress], counted)
             elif isinstance(action, CallCounter):
                 self._call_counter(
@@ -219,7 +219,7 @@
             elif isinstance(action, SendMessage):
                 self._send_message(ingress, action)
 
-    def _deliver_total(self, ingress: int, generation: int, counted: i.Counted) -> None:
+    def _deliver_total(self, ingress: int, generation: int, counted: i.CountOutcome) -> None:
         if generation == self.generations[ingress]:
             self._handle_events(ingress, counted)
 
@@ -260,7 +260,7 @@
         service_time = self.scenario.counter_ms / 1000 * (self.scenario.slowdown if in_outage else 1.0)
         start = max(self.now + delay, self.counter_free_at)
         if start - self.now > 2 * COUNTER_TIMEOUT:
-            self._schedule(self.now + 2 * delay, self._on_counter_answer, *call, i.End.FULL, 0.0, 1)
+            self._schedule(self.now + 2 * delay, self._on_counter_answer, *call, i.End.REJECTED, 0.0, 1)
             return
         self.counter_free_at = start + service_time
         self._schedule(
@@ -303,4 +303,4 @@
             leases.counted(token, end, total, self._wall_clock())
             self._run_lease_actions(ingress)
         else:
-            self._handle_events(ingress, i.Counted(name, self.now - called_at, end, total))
+            self._handle_events(ingress, i.CountOutcome(name, self.now - called_at, end, total))
--- a/opalgauge/lab/zone_simulation.py
+++ b/opalgauge/lab/zone_simulation.py
@@ -10,7 +10,7 @@
 
 from opalgauge.lab.server_model import ServerModel
 from opalgauge.lab.simulation import TICK_INTERVAL, Simulation
-from opalgauge.memory.effects import AttemptSeen
+from opalgauge.memory.effects import ReportAttempt
 from opalgauge.zones import messages
 from opalgauge.zones.watch import Judged, Rules, Say, Watch
 from starlinggap import Gateway
@@ -97,14 +97,15 @@
         settings = i.Settings(
             classes=(
                 i.RequestClass(AIM, DEADLINE, 1.0),
-                i.RequestClass(AIM, DEADLINE, 2.0, effect=i.Effect.UNSAFE),
+                i.RequestClass(AIM, DEADLINE, 2.0, idempotency=i.Idempotency.UNSAFE),
             ),
-            plans=(i.Plan(),), gateways=self.scenario.ingresses, me=ingress,
-            zone=ingress % self.scenario.zones, max_attempts=4, cancel=True, probes=True,
-            cold=self.scenario.warm_up, cold_from=0.21, fall=3.0, fall_multiple=4.0,
+            plans=(i.Plan(),), gateways=self.scenario.ingresses, gateway_index=ingress,
+            zone=ingress % self.scenario.zones, max_attempts=4, allow_cancel=True, allow_probes=True,
+            slow_start_duration=self.scenario.warm_up, slow_start_share=0.21,
+            collapse_time=3.0, collapse_ratio=4.0,
         )  # fmt: skip
         gateway = Gateway(settings, self.scenario.seed * 1000 + ingress + generation * 77)
-        gateway.handle(self.now, [i.ServerList(i.ListKind.WHOLE, self.entries)])
+        gateway.handle(self.now, [i.ServerList(i.ListKind.COMPLETE, self.entries)])
         return gateway
 
     def _make_watch(self, ingress: int) -> Watch:
@@ -191,7 +192,7 @@
 
     def _trial(self, ingress: int, server: int) -> None:
         watch, zone = self.watches[ingress], self.entries[server - 1].zone
-        watch.seen(AttemptSeen((0, server), server, zone, 0), self._wall_clock())
+        watch.seen(ReportAttempt((0, server), server, zone, 0), self._wall_clock())
         took = CONNECT_FAILURE_TIME if self._in_outage(server) else 0.002
         end = i.End.CONNECT_FAILED if self._in_outage(server) else i.End.OK
         self._schedule(
@@ -200,7 +201,7 @@
 
     def _trial_done(self, ingress: int, generation: int, server: int, end: i.End, took: float) -> None:
         if generation == self.generations[ingress]:
-            observation = AttemptSeen(
+            observation = ReportAttempt(
                 (0, server), server, self.entries[server - 1].zone, 0, end, timedelta(seconds=took)
             )
             self.watches[ingress].seen(observation, self._wall_clock())
@@ -235,7 +236,7 @@
         self.attempts[action.request] = attempt + 1
         zone = self.entries[action.server - 1].zone
         self.watches[ingress].seen(
-            AttemptSeen((action.request, attempt), action.server, zone, 0), self._wall_clock()
+            ReportAttempt((action.request, attempt), action.server, zone, 0), self._wall_clock()
         )
         self.in_flight[ingress, action.request, attempt] = action.server, self.generations[ingress]
         if self._in_outage(action.server):
@@ -243,9 +244,9 @@
             when, end = self.now + CONNECT_FAILURE_TIME, i.End.CONNECT_FAILED
         else:
             done = self.models[action.server - 1].arrive(self.now, str(action.request))
-            when, end = (done, i.End.OK) if done is not None else (self.now + 0.001, i.End.FULL)
-            if when > action.stop_at:
-                when, end = action.stop_at, i.End.TIMEOUT
+            when, end = (done, i.End.OK) if done is not None else (self.now + 0.001, i.End.REJECTED)
+            if when > action.deadline:
+                when, end = action.deadline, i.End.TIMEOUT
         self._schedule(
             when,
             self._end_attempt,
@@ -268,7 +269,7 @@
         if end in (i.End.CONNECT_FAILED, i.End.RESET) and self.result.first_failure is None:
             self.result.first_failure = self.now
         took = timedelta(seconds=self.now - started)
-        observation = AttemptSeen((request, attempt), server, self.entries[server - 1].zone, 0, end, took)
+        observation = ReportAttempt((request, attempt), server, self.entries[server - 1].zone, 0, end, took)
         self.watches[ingress].seen(observation, self._wall_clock())
         answered = False
         if end is i.End.OK and (pending := self.pending.pop(request, None)):
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from opalgauge.lifecycle.config import ConfigError, flatten, make_config
-from opalgauge.memory.events import Errand
+from opalgauge.memory.events import HttpRequest
 from opalgauge.wire import quota_counter, stock_nodes
 from opalgauge.wire.clients import Trade, read_order
 from opalgauge.wire.line import Reply
@@ -39,7 +39,7 @@
 
 
 def test_an_attempt_states_its_time_and_changes_nothing_else() -> None:
-    errand = Errand("POST", "/place-order?a=%2F", "abc", (("Content-Type", "text/x"),), b"\x00\xff")
+    errand = HttpRequest("POST", "/place-order?a=%2F", "abc", (("Content-Type", "text/x"),), b"\x00\xff")
     assert stock_nodes.attempt_bytes(errand, timedelta(milliseconds=480)) == (
         b"POST /place-order?a=%2F HTTP/1.1\r\nHost: stock-node\r\nX-Correlation-Id: abc\r\n"
         b"X-Time-Left: 0.480\r\nContent-Type: text/x\r\nContent-Length: 2\r\n\r\n\x00\xff"
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     ("status", "unprocessed", "end"),
     [
-        (200, "", i.End.OK), (500, "", i.End.ERROR), (503, "1", i.End.FULL), (504, "1", i.End.FULL),
+        (200, "", i.End.OK), (500, "", i.End.ERROR), (503, "1", i.End.REJECTED), (504, "1", i.End.REJECTED),
         (503, "", i.End.ERROR), (500, "1", i.End.ERROR), (404, "", i.End.ERROR),
     ],
 )  # fmt: skip
@@ -76,7 +76,11 @@
 
 @pytest.mark.parametrize(
     ("status", "body", "end", "load"),
-    [(200, b"util=0.5", i.End.OK, {"util": 0.5}), (503, b"", i.End.FULL, {}), (404, b"", i.End.ERROR, {})],
+    [
+        (200, b"util=0.5", i.End.OK, {"util": 0.5}),
+        (503, b"", i.End.REJECTED, {}),
+        (404, b"", i.End.ERROR, {}),
+    ],
 )
 def test_probe_answers(status: int, body: bytes, end: i.End, load: dict[str, float]) -> None:
     answered = stock_nodes.understand_probe(1, reply(status, body))
@@ -95,7 +99,8 @@
 @pytest.mark.parametrize(
     ("answer", "end", "total"),
     [
-        (reply(200, b"12.5"), i.End.OK, 12.5), (reply(503), i.End.FULL, 0.0), (reply(404), i.End.FULL, 0.0),
+        (reply(200, b"12.5"), i.End.OK, 12.5), (reply(503), i.End.REJECTED, 0.0),
+        (reply(404), i.End.REJECTED, 0.0),
         *[(reply(200, b), i.End.ERROR, 0.0) for b in (b"", b"plenty", b"inf", b"nan", b"1e", b"0x1", b"1_0")],
         (reply(500), i.End.ERROR, 0.0), (reply(200, b"-1.5e3"), i.End.OK, -1500.0),
     ],
@@ -104,16 +109,16 @@
     told = quota_counter.understand_total(1, answer)
     assert (told.end, told.total) == (end, total)
     # Where it cannot be read the connection is of no further use, whatever its headers say.
-    assert told.keep is (end is not i.End.ERROR)
+    assert told.keep_alive is (end is not i.End.ERROR)
 
 
 def test_the_node_list_is_read_in_the_deployments_words() -> None:
     reader = NodeListReader(("bat-a", "bat-b"))
     told = reader.understand(1, reply(200, json.dumps({"seq": 43, "whole": False, "hosts": [HOST]}).encode()))
-    assert (told.version, told.kind) == (43, i.ListKind.CHANGES)
-    assert told.nodes is not None
-    assert told.nodes[0].address == "127.0.0.9:5000"
-    assert told.nodes[0].entry == i.ServerEntry(
+    assert (told.version, told.list_kind) == (43, i.ListKind.CHANGES)
+    assert told.servers is not None
+    assert told.servers[0].address == "127.0.0.9:5000"
+    assert told.servers[0].entry == i.ServerEntry(
         node_number("s-5be2a07c"), i.Health.DRAINING, zone=1, cell=3, started=1.5, weight=1.5
     )
     assert node_number("s-5be2a07c") != node_number("s-5be2a07d")
@@ -127,7 +132,7 @@
     [b"{}", b'{"seq":1,"whole":true,"hosts":[7]}', b'{"seq":1,"whole":true,"hosts":[{}]}', b"\xff"],
 )
 def test_an_unreadable_node_list_is_said_to_be_so(body: bytes) -> None:
-    assert NodeListReader(()).understand(1, reply(200, body)).nodes is None
+    assert NodeListReader(()).understand(1, reply(200, body)).servers is None
 
 
 def test_settings_flatten_to_the_lines_that_the_module_reads() -> None:
@@ -143,10 +148,10 @@
 
 def test_a_configuration_becomes_the_figures_of_the_house() -> None:
     config = make_config(told(), {})
-    assert config.house.settings.classes[1].effect is i.Effect.UNSAFE
-    assert config.house.idle_limit < timedelta(seconds=15)
-    assert config.house.known_version == 41 and len(config.house.known) == 1
-    assert config.house.most_lines + config.house.most_orders < 1024
+    assert config.house.settings.classes[1].idempotency is i.Idempotency.UNSAFE
+    assert config.house.server_idle_timeout < timedelta(seconds=15)
+    assert config.house.known_list_version == 41 and len(config.house.known_servers) == 1
+    assert config.house.max_server_connections + config.house.max_requests < 1024
     assert config.trade.kinds == {"stock-check": (0, "GET"), "place-order": (1, "POST")}
 
 
@@ -174,7 +179,7 @@
         },
     )  # fmt: skip
     order = read_order(request, 1, 1, b"{}", trade)
-    sent = stock_nodes.attempt_bytes(order.errand, timedelta(milliseconds=400))
+    sent = stock_nodes.attempt_bytes(order.http_request, timedelta(milliseconds=400))
     assert b"\r\nIdempotency-Key: 5c0f6e1a\r\n" in sent and sent.startswith(b"POST /place-order/7?x=1 ")
 
 
@@ -210,7 +215,7 @@
 
 FIGURES = st.floats(0.01, 1e4, allow_nan=False)
 NAMES = st.text("abcdefghijklmnopqrstuvwxyz-", min_size=1, max_size=12)
-EFFECTS = {"retryable": i.Effect.SAFE, "dedup": i.Effect.KEYED, "fragile": i.Effect.UNSAFE}
+EFFECTS = {"retryable": i.Idempotency.SAFE, "dedup": i.Idempotency.KEYED, "fragile": i.Idempotency.UNSAFE}
 CLASSES = st.lists(
     st.fixed_dictionaries({
         "name": NAMES, "aim": FIGURES, "deadline": FIGURES, "credit": FIGURES, "late_value": FIGURES,
@@ -254,9 +259,10 @@
     config = make_config(told(settings=d), {})
     s = config.house.settings
     domain, ceilings, rules = d["domain"], d["ceilings"], d["invariants"]
-    assert (s.gateways, s.me, s.zone, s.tick) == (d["balancers"], d["me"], d["zone"], d["tick"])
+    assert (s.gateways, s.gateway_index, s.zone, s.tick) == (d["balancers"], d["me"], d["zone"], d["tick"])
     assert [
-        (c.aim, c.deadline, c.worth, c.late_worth, c.effect, c.group.value, c.window) for c in s.classes
+        (c.aim, c.deadline, c.worth, c.late_worth, c.idempotency, c.dedup_scope.value, c.dedup_window)
+        for c in s.classes
     ] == [
         (c["aim"], c["deadline"], c["credit"], c["late_value"], EFFECTS[c["effect"]], c["group"], c["window"])
         for c in d["classes"]
@@ -270,21 +276,23 @@
          p["never_over_depth"], p["hard_slack"])
         for p in d["tiers_of_service"]
     ]  # fmt: skip
-    assert (s.counter, s.counter_timeout, s.most_units, s.settles, s.meter_period) == (
+    assert (s.use_counter, s.counter_timeout, s.max_units, s.charge_true_units, s.meter_period) == (
         domain["shared_counter"], domain["counter_timeout"], domain["units_top"], domain["trued_up"],
         domain["meter_period"],
     )  # fmt: skip
-    assert (s.max_attempts, s.cancel, s.parallel, s.probes, s.max_retry_after) == (
+    assert (s.max_attempts, s.allow_cancel, s.allow_parallel, s.allow_probes, s.max_retry_after) == (
         ceilings["try_limit"], ceilings["cancelling"], ceilings["parallel_tries"], ceilings["probes"],
         ceilings["max_retry_after"],
     )  # fmt: skip
-    assert (s.cold, s.cold_from, s.fall, s.fall_multiple, s.ask_within) == (
+    assert (
+        s.slow_start_duration, s.slow_start_share, s.collapse_time, s.collapse_ratio, s.max_watch_interval,
+    ) == (
         rules["cold"], rules["cold_from"], rules["fall"], rules["fall_multiple"], rules["ask_within"]
     )  # fmt: skip
     assert s.cross_zone_price == d["prices"]["cross_zone"]
     assert s.list_on_request is (d["discovery"] == "on_request")
     assert config.zones == tuple(d["zones"])
-    assert s.keeps_open < ceilings["conn_idle"]
+    assert s.idle_timeout < ceilings["conn_idle"]
     assert config.house.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
     assert config.trade.kinds == {
         c["name"]: (n, "GET" if c["effect"] == "retryable" else "POST") for n, c in enumerate(d["classes"])
