--- a/opalgauge/lab/bench_request.py
+++ b/opalgauge/lab/bench_request.py
@@ -21,15 +21,13 @@
 from aiohttp.http_writer import StreamWriter
 
 from opalgauge.lab.testbed import load_results, start_load_generators, testbed
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
+from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
 from opalgauge.memory.state import IngressConfig
 from opalgauge.wire import quota_counter, stock_nodes
 from opalgauge.wire.clients import Trade, read_order
 from opalgauge.wire.line import MOST_BODY, MOST_TOTAL, LineProtocol, Understand
-from starlinggap import Gateway
-from starlinggap import interface as i
+from starlinggap import Gateway, interface
 
 START = datetime(2026, 12, 1, 6, 0, tzinfo=UTC)
 REQUEST = (
@@ -38,12 +36,12 @@
     b"X-Call-Terms: units=1,spread=1,first=0\r\nContent-Length: 64\r\n\r\n" + b"x" * 64
 )
 REQUEST_RULES = Trade([("stock-check", True), ("place-order", False)], ["negoce"], 4.0, 1)
-SETTINGS = i.Settings(
+SETTINGS = interface.Settings(
     classes=(
-        i.RequestClass(0.4, 1.2, 2.0),
-        i.RequestClass(0.8, 3.0, 5.0, idempotency=i.Idempotency.UNSAFE),
+        interface.RequestClass(0.4, 1.2, 2.0),
+        interface.RequestClass(0.8, 3.0, 5.0, idempotency=interface.Idempotency.UNSAFE),
     ),
-    plans=(i.Plan(rate=1e5, burst=1e6),),
+    plans=(interface.Plan(rate=1e5, burst=1e6),),
     max_units=4.0,
     use_counter=True,
     counter_timeout=0.08,
@@ -51,7 +49,8 @@
     allow_cancel=True,
 )
 SERVERS = tuple(
-    ev.ListedServer(f"127.0.0.1:{7000 + n}", i.ServerEntry(n, i.Health.READY)) for n in range(1, 5)
+    events.ListedServer(f"127.0.0.1:{7000 + n}", interface.ServerEntry(n, interface.Health.READY))
+    for n in range(1, 5)
 )
 COUNTER_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5"
 SERVER_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
@@ -89,8 +88,8 @@
         return False
 
 
-def _sample_request() -> ev.HttpRequest:
-    return ev.HttpRequest("POST", "/place-order/1007/1", "9b1f03aa5c7e2d41", (), b"x" * 64)
+def _sample_request() -> events.HttpRequest:
+    return events.HttpRequest("POST", "/place-order/1007/1", "9b1f03aa5c7e2d41", (), b"x" * 64)
 
 
 def _http_in(loop: asyncio.AbstractEventLoop) -> Callable[[int], None]:
@@ -167,24 +166,26 @@
             self.number += 1
             number = self.number
             if number == 1:
-                step(ev.ClientConnected(1), self.now)
-            taken = ev.RequestReceived(
+                step(events.ClientConnected(1), self.now)
+            taken = events.RequestReceived(
                 number, _sample_request(), 1, 0, 1007, timedelta(seconds=2), 1.0, 1, 0, False, 1,
             )  # fmt: skip
             pending = step(taken, self.now)
             while pending:
-                following: list[fx.Effect] = []
+                following: list[effects.Effect] = []
                 for effect in pending:
-                    if isinstance(effect, fx.OpenConnection):
-                        following += step(ev.ConnectionOpened(effect.connection_id), self.now)
-                    elif isinstance(effect, fx.CallCounter):
-                        answer = ev.CounterAnswered(
-                            effect.connection_id, i.End.OK, max(1.0, effect.amount), True
+                    if isinstance(effect, effects.OpenConnection):
+                        following += step(events.ConnectionOpened(effect.connection_id), self.now)
+                    elif isinstance(effect, effects.CallCounter):
+                        answer = events.CounterAnswered(
+                            effect.connection_id, interface.End.OK, max(1.0, effect.amount), True
                         )
                         following += step(answer, self.now)
-                    elif isinstance(effect, fx.SendAttempt):
+                    elif isinstance(effect, effects.SendAttempt):
                         following += step(
-                            ev.ServerAnswered(effect.connection_id, i.End.OK, True, b"done", "text/plain"),
+                            events.ServerAnswered(
+                                effect.connection_id, interface.End.OK, True, b"done", "text/plain"
+                            ),
                             self.now,
                         )
                 pending = following
@@ -197,7 +198,8 @@
         self.now, self.number, self.total = 1e6, 0, 0.0
         self.gateway = Gateway(SETTINGS, 5)
         self.gateway.handle(
-            self.now, [i.ServerList(i.ListKind.COMPLETE, tuple(server.entry for server in SERVERS))]
+            self.now,
+            [interface.ServerList(interface.ListKind.COMPLETE, tuple(server.entry for server in SERVERS))],
         )
 
     def run(self, count: int) -> None:
@@ -206,15 +208,19 @@
         for _ in range(count):
             self.now += 0.0004
             self.number += 1
-            events_in: list[i.Event] = [i.Request(self.number, 1, 0, 1007, 1.9, 1.0, 1)]
+            events_in: list[interface.Event] = [interface.Request(self.number, 1, 0, 1007, 1.9, 1.0, 1)]
             while events_in:
                 actions, events_in = handle(self.now, events_in), []
                 for action in actions:
-                    if isinstance(action, i.Count):
+                    if isinstance(action, interface.Count):
                         self.total += action.amount
-                        events_in.append(i.CountOutcome(action.name, 0.001, i.End.OK, self.total))
-                    elif isinstance(action, i.Send):
-                        events_in.append(i.Outcome(self.number, 0, action.server, i.End.OK, 0.005, True))
+                        events_in.append(
+                            interface.CountOutcome(action.name, 0.001, interface.End.OK, self.total)
+                        )
+                    elif isinstance(action, interface.Send):
+                        events_in.append(
+                            interface.Outcome(self.number, 0, action.server, interface.End.OK, 0.005, True)
+                        )
 
 
 def measure_parts(rounds: int, count: int) -> dict[str, float]:
--- a/opalgauge/lab/lease_simulation.py
+++ b/opalgauge/lab/lease_simulation.py
@@ -23,8 +23,7 @@
 from opalgauge.leases import messages
 from opalgauge.leases.actions import CallCounter, SendMessage, TellTotal
 from opalgauge.leases.holder import Leases, Rules
-from starlinggap import Gateway
-from starlinggap import interface as i
+from starlinggap import Gateway, interface
 
 TICK_INTERVAL, COUNTER_TIMEOUT, SERVICE_TIME = 0.02, 0.05, 0.05
 COUNTER_DELAY = (0.0004, 0.0008)  # s to the counter, one way
@@ -79,7 +78,9 @@
         super().__init__(scenario.seed)
         self.scenario, self.result = scenario, Result()
         self.load = AccountLoad(scenario.plans, scenario.ingresses, scenario.seed, scenario.shift_interval)
-        self.gateway_plans = tuple(i.Plan(rate=plan.rate, burst=plan.burst) for plan in scenario.plans)
+        self.gateway_plans = tuple(
+            interface.Plan(rate=plan.rate, burst=plan.burst) for plan in scenario.plans
+        )
         self.counter_free_at = 0.0
         self.totals: dict[int, list[float]] = {}
         self.generations = [0] * scenario.ingresses
@@ -95,14 +96,16 @@
             self._schedule(when, self._restart, ingress)
 
     def _make_gateway(self, ingress: int) -> Gateway:
-        settings = i.Settings(
-            classes=(i.RequestClass(1.2, 5.0),), plans=self.gateway_plans,
+        settings = interface.Settings(
+            classes=(interface.RequestClass(1.2, 5.0),), plans=self.gateway_plans,
             gateways=self.scenario.ingresses, gateway_index=ingress,
             use_counter=True, counter_timeout=COUNTER_TIMEOUT, max_units=2.0,
         )  # fmt: skip
         gateway = Gateway(settings, self.scenario.seed * 1000 + ingress + 77 * self.generations[ingress])
-        servers = tuple(i.ServerEntry(server, i.Health.READY) for server in range(1, 40))
-        gateway.handle(EPOCH.timestamp() + self.now, [i.ServerList(i.ListKind.COMPLETE, servers)])
+        servers = tuple(interface.ServerEntry(server, interface.Health.READY) for server in range(1, 40))
+        gateway.handle(
+            EPOCH.timestamp() + self.now, [interface.ServerList(interface.ListKind.COMPLETE, servers)]
+        )
         return gateway
 
     def _make_leases(self, ingress: int) -> Leases | None:
@@ -147,25 +150,25 @@
         spread = min(account.plan.spread, self.scenario.ingresses)
         if (leases := self.leases[ingress]) is not None:
             leases.met(account.number, plan_index, spread, account.first_ingress, self._wall_clock())
-        request = i.Request(
+        request = interface.Request(
             number, 0, plan_index, account.number, 5.0, float(units), spread, account.first_ingress
         )
         self._handle_events(ingress, request)
 
-    def _handle_events(self, ingress: int, *events: i.Event) -> None:
+    def _handle_events(self, ingress: int, *events: interface.Event) -> None:
         for action in self.gateways[ingress].handle(EPOCH.timestamp() + self.now, list(events)):
-            if isinstance(action, i.Send):
+            if isinstance(action, interface.Send):
                 if decision := self.pending_decisions.pop(action.request, None):
                     decision.time, decision.sent = self.now, True
                     self.result.decisions.append(decision)
                 self._schedule(
                     self.now + SERVICE_TIME, self._on_served, ingress, self.generations[ingress], action
                 )
-            elif isinstance(action, i.Refuse | i.Fail):
+            elif isinstance(action, interface.Refuse | interface.Fail):
                 if decision := self.pending_decisions.pop(action.request, None):
                     decision.time = self.now
                     self.result.decisions.append(decision)
-            elif isinstance(action, i.Timer):
+            elif isinstance(action, interface.Timer):
                 self._schedule(
                     action.at - EPOCH.timestamp(),
                     self._on_timer,
@@ -173,7 +176,7 @@
                     self.generations[ingress],
                     action.token,
                 )
-            elif isinstance(action, i.Count):
+            elif isinstance(action, interface.Count):
                 if (leases := self.leases[ingress]) is not None:
                     leases.asked(
                         action.name, action.amount, timedelta(seconds=action.ttl), self._wall_clock()
@@ -182,15 +185,16 @@
                     self._call_counter(ingress, 0, action.name, action.amount, action.ttl)
         self._run_lease_actions(ingress)
 
-    def _on_served(self, ingress: int, generation: int, action: i.Send) -> None:
+    def _on_served(self, ingress: int, generation: int, action: interface.Send) -> None:
         if generation == self.generations[ingress]:
             self._handle_events(
-                ingress, i.Outcome(action.request, 0, action.server, i.End.OK, SERVICE_TIME, True)
+                ingress,
+                interface.Outcome(action.request, 0, action.server, interface.End.OK, SERVICE_TIME, True),
             )
 
     def _on_timer(self, ingress: int, generation: int, token: int) -> None:
         if generation == self.generations[ingress]:
-            self._handle_events(ingress, i.TimerFired(token))
+            self._handle_events(ingress, interface.TimerFired(token))
 
     def _restart(self, ingress: int) -> None:
         self.generations[ingress] += 1
@@ -210,7 +214,9 @@
         leases = self.leases[ingress]
         for action in leases.take() if leases is not None else ():
             if isinstance(action, TellTotal):  # in the order of the calls, as events are delivered
-                counted = i.CountOutcome(action.name, action.took.total_seconds(), action.end, action.total)
+                counted = interface.CountOutcome(
+                    action.name, action.took.total_seconds(), action.end, action.total
+                )
                 self._schedule(self.now, self._deliver_total, ingress, self.generations[ingress], counted)
             elif isinstance(action, CallCounter):
                 self._call_counter(
@@ -219,7 +225,7 @@
             elif isinstance(action, SendMessage):
                 self._send_message(ingress, action)
 
-    def _deliver_total(self, ingress: int, generation: int, counted: i.CountOutcome) -> None:
+    def _deliver_total(self, ingress: int, generation: int, counted: interface.CountOutcome) -> None:
         if generation == self.generations[ingress]:
             self._handle_events(ingress, counted)
 
@@ -254,13 +260,17 @@
             and self.scenario.slowdown == 1.0
             and (not self.scenario.affected or ingress in self.scenario.affected)
         ):
-            self._schedule(self.now + COUNTER_TIMEOUT, self._on_counter_answer, *call, i.End.TIMEOUT, 0.0, 1)
+            self._schedule(
+                self.now + COUNTER_TIMEOUT, self._on_counter_answer, *call, interface.End.TIMEOUT, 0.0, 1
+            )
             return
         delay = self.rng.uniform(*COUNTER_DELAY)
         service_time = self.scenario.counter_ms / 1000 * (self.scenario.slowdown if in_outage else 1.0)
         start = max(self.now + delay, self.counter_free_at)
         if start - self.now > 2 * COUNTER_TIMEOUT:
-            self._schedule(self.now + 2 * delay, self._on_counter_answer, *call, i.End.REJECTED, 0.0, 1)
+            self._schedule(
+                self.now + 2 * delay, self._on_counter_answer, *call, interface.End.REJECTED, 0.0, 1
+            )
             return
         self.counter_free_at = start + service_time
         self._schedule(
@@ -279,12 +289,12 @@
                 max(self.now, call[4] + COUNTER_TIMEOUT),
                 self._on_counter_answer,
                 *call,
-                i.End.TIMEOUT,
+                interface.End.TIMEOUT,
                 0.0,
                 1,
             )
         else:
-            self._schedule(answered_at, self._on_counter_answer, *call, i.End.OK, entry[0], 1)
+            self._schedule(answered_at, self._on_counter_answer, *call, interface.End.OK, entry[0], 1)
 
     def _on_counter_answer(
         self,
@@ -293,7 +303,7 @@
         token: int,
         name: int,
         called_at: float,
-        end: i.End,
+        end: interface.End,
         total: float,
         _: int,
     ) -> None:
@@ -303,4 +313,4 @@
             leases.counted(token, end, total, self._wall_clock())
             self._run_lease_actions(ingress)
         else:
-            self._handle_events(ingress, i.CountOutcome(name, self.now - called_at, end, total))
+            self._handle_events(ingress, interface.CountOutcome(name, self.now - called_at, end, total))
--- a/opalgauge/lab/zone_simulation.py
+++ b/opalgauge/lab/zone_simulation.py
@@ -13,8 +13,7 @@
 from opalgauge.memory.effects import ReportAttempt
 from opalgauge.zones import messages
 from opalgauge.zones.watch import Judged, Rules, Say, Watch
-from starlinggap import Gateway
-from starlinggap import interface as i
+from starlinggap import Gateway, interface
 
 AIM, DEADLINE, CONNECT_FAILURE_TIME = 1.2, 4.0, 0.1
 
@@ -72,7 +71,7 @@
             for _ in range(scenario.zones * scenario.servers_per_zone)
         ]
         self.entries = tuple(
-            i.ServerEntry(index + 1, i.Health.READY, index // scenario.servers_per_zone)
+            interface.ServerEntry(index + 1, interface.Health.READY, index // scenario.servers_per_zone)
             for index in range(len(self.models))
         )
         self.gateways: list[Gateway] = []
@@ -80,7 +79,7 @@
         self.generations = [0] * scenario.ingresses
         self.received: list[dict[int, int]] = [{} for _ in range(scenario.ingresses)]
         self.attempts: dict[int, int] = {}
-        self.pending: dict[int, tuple[float, i.Request]] = {}
+        self.pending: dict[int, tuple[float, interface.Request]] = {}
         self.in_flight: dict[
             tuple[int, int, int], tuple[int, int]
         ] = {}  # (ingress, request, attempt) -> (server, generation)
@@ -94,18 +93,18 @@
         self._schedule(scenario.outage[1], self._end_outage)
 
     def _make_gateway(self, ingress: int, generation: int) -> Gateway:
-        settings = i.Settings(
+        settings = interface.Settings(
             classes=(
-                i.RequestClass(AIM, DEADLINE, 1.0),
-                i.RequestClass(AIM, DEADLINE, 2.0, idempotency=i.Idempotency.UNSAFE),
+                interface.RequestClass(AIM, DEADLINE, 1.0),
+                interface.RequestClass(AIM, DEADLINE, 2.0, idempotency=interface.Idempotency.UNSAFE),
             ),
-            plans=(i.Plan(),), gateways=self.scenario.ingresses, gateway_index=ingress,
+            plans=(interface.Plan(),), gateways=self.scenario.ingresses, gateway_index=ingress,
             zone=ingress % self.scenario.zones, max_attempts=4, allow_cancel=True, allow_probes=True,
             slow_start_duration=self.scenario.warm_up, slow_start_share=0.21,
             collapse_time=3.0, collapse_ratio=4.0,
         )  # fmt: skip
         gateway = Gateway(settings, self.scenario.seed * 1000 + ingress + generation * 77)
-        gateway.handle(self.now, [i.ServerList(i.ListKind.COMPLETE, self.entries)])
+        gateway.handle(self.now, [interface.ServerList(interface.ListKind.COMPLETE, self.entries)])
         return gateway
 
     def _make_watch(self, ingress: int) -> Watch:
@@ -142,7 +141,7 @@
         if self.now > self.scenario.seconds:
             return
         ingress = self.rng.randrange(self.scenario.ingresses)
-        request = i.Request(number, int(self.rng.random() < 0.3), 0, number, DEADLINE)
+        request = interface.Request(number, int(self.rng.random() < 0.3), 0, number, DEADLINE)
         self.result.requests += 1
         self.pending[number] = self.now, request
         self._apply(ingress, self.gateways[ingress].handle(self.now, [request]))
@@ -176,7 +175,8 @@
                 if action.trial:
                     self._trial(ingress, action.trial)
                 self._apply(
-                    ingress, self.gateways[ingress].handle(self.now, [i.ZoneShare(action.zone, action.share)])
+                    ingress,
+                    self.gateways[ingress].handle(self.now, [interface.ZoneShare(action.zone, action.share)]),
                 )
         self._apply(ingress, self.gateways[ingress].handle(self.now, []))
 
@@ -194,44 +194,46 @@
         watch, zone = self.watches[ingress], self.entries[server - 1].zone
         watch.seen(ReportAttempt((0, server), server, zone, 0), self._wall_clock())
         took = CONNECT_FAILURE_TIME if self._in_outage(server) else 0.002
-        end = i.End.CONNECT_FAILED if self._in_outage(server) else i.End.OK
+        end = interface.End.CONNECT_FAILED if self._in_outage(server) else interface.End.OK
         self._schedule(
             self.now + took, self._trial_done, ingress, self.generations[ingress], server, end, took
         )
 
-    def _trial_done(self, ingress: int, generation: int, server: int, end: i.End, took: float) -> None:
+    def _trial_done(
+        self, ingress: int, generation: int, server: int, end: interface.End, took: float
+    ) -> None:
         if generation == self.generations[ingress]:
             observation = ReportAttempt(
                 (0, server), server, self.entries[server - 1].zone, 0, end, timedelta(seconds=took)
             )
             self.watches[ingress].seen(observation, self._wall_clock())
 
-    def _apply(self, ingress: int, actions: list[i.Action]) -> None:
+    def _apply(self, ingress: int, actions: list[interface.Action]) -> None:
         for action in actions:
-            if isinstance(action, i.Send):
+            if isinstance(action, interface.Send):
                 self._send_attempt(ingress, action)
-            elif isinstance(action, i.Cancel):
+            elif isinstance(action, interface.Cancel):
                 if (ingress, action.request, action.attempt) in self.in_flight:
                     self._end_attempt(
                         ingress,
                         self.generations[ingress],
                         action.request,
                         action.attempt,
-                        i.End.CANCELLED,
+                        interface.End.CANCELLED,
                         self.now,
                     )
-            elif isinstance(action, i.Timer):
+            elif isinstance(action, interface.Timer):
                 self._schedule(action.at, self._on_timer, ingress, self.generations[ingress], action.token)
-            elif isinstance(action, i.Refuse | i.Fail):
+            elif isinstance(action, interface.Refuse | interface.Fail):
                 if self.pending.pop(action.request, None):
-                    self.result.refused += isinstance(action, i.Refuse)
-                    self.result.failed += isinstance(action, i.Fail)
+                    self.result.refused += isinstance(action, interface.Refuse)
+                    self.result.failed += isinstance(action, interface.Fail)
 
     def _on_timer(self, ingress: int, generation: int, token: int) -> None:
         if generation == self.generations[ingress]:
-            self._apply(ingress, self.gateways[ingress].handle(self.now, [i.TimerFired(token)]))
+            self._apply(ingress, self.gateways[ingress].handle(self.now, [interface.TimerFired(token)]))
 
-    def _send_attempt(self, ingress: int, action: i.Send) -> None:
+    def _send_attempt(self, ingress: int, action: interface.Send) -> None:
         attempt = self.attempts.get(action.request, 0)
         self.attempts[action.request] = attempt + 1
         zone = self.entries[action.server - 1].zone
@@ -241,12 +243,14 @@
         self.in_flight[ingress, action.request, attempt] = action.server, self.generations[ingress]
         if self._in_outage(action.server):
             self.result.last_attempt = self.now
-            when, end = self.now + CONNECT_FAILURE_TIME, i.End.CONNECT_FAILED
+            when, end = self.now + CONNECT_FAILURE_TIME, interface.End.CONNECT_FAILED
         else:
             done = self.models[action.server - 1].arrive(self.now, str(action.request))
-            when, end = (done, i.End.OK) if done is not None else (self.now + 0.001, i.End.REJECTED)
+            when, end = (
+                (done, interface.End.OK) if done is not None else (self.now + 0.001, interface.End.REJECTED)
+            )
             if when > action.deadline:
-                when, end = action.deadline, i.End.TIMEOUT
+                when, end = action.deadline, interface.End.TIMEOUT
         self._schedule(
             when,
             self._end_attempt,
@@ -259,23 +263,23 @@
         )
 
     def _end_attempt(
-        self, ingress: int, generation: int, request: int, attempt: int, end: i.End, started: float
+        self, ingress: int, generation: int, request: int, attempt: int, end: interface.End, started: float
     ) -> None:
         if generation != self.generations[ingress] or (ingress, request, attempt) not in self.in_flight:
             return
         server, _ = self.in_flight.pop((ingress, request, attempt))
-        if end is i.End.OK and self._in_outage(server):
-            end = i.End.RESET  # the server failed while it worked on the request
-        if end in (i.End.CONNECT_FAILED, i.End.RESET) and self.result.first_failure is None:
+        if end is interface.End.OK and self._in_outage(server):
+            end = interface.End.RESET  # the server failed while it worked on the request
+        if end in (interface.End.CONNECT_FAILED, interface.End.RESET) and self.result.first_failure is None:
             self.result.first_failure = self.now
         took = timedelta(seconds=self.now - started)
         observation = ReportAttempt((request, attempt), server, self.entries[server - 1].zone, 0, end, took)
         self.watches[ingress].seen(observation, self._wall_clock())
         answered = False
-        if end is i.End.OK and (pending := self.pending.pop(request, None)):
+        if end is interface.End.OK and (pending := self.pending.pop(request, None)):
             answered = True
             late = self.now - pending[0] > AIM
             self.result.late += late
             self.result.served += not late
-        event = i.Outcome(request, attempt, server, end, took.total_seconds(), answered)
+        event = interface.Outcome(request, attempt, server, end, took.total_seconds(), answered)
         self._apply(ingress, self.gateways[ingress].handle(self.now, [event]))
