--- a/opalgauge/lab/fleet.py
+++ b/opalgauge/lab/fleet.py
@@ -61,7 +61,7 @@
     garbage_datagrams: tuple[tuple[float, int, int], ...] = ()
     clock_skews: tuple[float, ...] = ()  # by ingress
     sample_interval: float = 0.0  # of the stats of all ingresses; 0: no samples
-    shift_interval: float = 6.0
+    shift_interval: float = 6.0  # see AccountLoad
     counter_work: float = 0.0  # of the counter for a call
     counter_slowdown: tuple[float, float, float] = (0.0, 0.0, 1.0)  # from, until, factor
 
@@ -72,11 +72,11 @@
 
     requests: int = 0
     served: int = 0
-    late: int = 0
-    refused: int = 0
-    failed: int = 0
-    lost: int = 0
-    duplicates: int = 0
+    late: int = 0  # answered after the aim
+    refused: int = 0  # status 429 or 503
+    failed: int = 0  # any other status but 200
+    lost: int = 0  # not answered
+    duplicates: int = 0  # requests that may not be repeated and ran more than once
     worth_served: float = 0.0  # of answers within the aim, as a share of the worth requested
     # By zone: of its worst server, from the restart of a zone on.
     max_overload: dict[str, float] = field(default_factory=dict)
