--- a/opalgauge/cores/__init__.py
+++ b/opalgauge/cores/__init__.py
@@ -1,1 +1,1 @@
-"""One ingress on several cores: workers that serve, and the guardian that starts and watches them."""
+"""One ingress on several processor cores: worker processes that serve, and the supervisor that runs them."""
--- a/opalgauge/cores/__main__.py
+++ b/opalgauge/cores/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one worker, as the guardian does: `python -m opalgauge.cores CHANNEL BOARD SEATS seat=N`."""
+"""Entry point of a worker process: `python -m opalgauge.cores CHANNEL_FD TABLE_FD WORKERS seat=N`."""
 
 import signal
 
@@ -10,7 +10,7 @@
     with lean():
         from opalgauge.cores.worker import main
 
-    # The guardian alone stops a worker: a terminal's interrupt goes to it as well.
+    # Only the supervisor stops a worker: an interrupt from the terminal reaches the supervisor as well.
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
     main()
--- a/opalgauge/cores/messages.py
+++ b/opalgauge/cores/messages.py
@@ -1,8 +1,9 @@
-"""What the guardian and its workers say to each other, and how it is framed.
+"""The messages between the supervisor and its workers, and the channels that carry them.
 
-Between guardian and worker: a message a packet (SOCK_SEQPACKET), a descriptor beside it where one goes along.
-Between workers: messages one behind another on a stream, each behind its length (u32, little-endian).
-msgspec encodes them; both ends are the same program, and what cannot be read ends the channel.
+Between supervisor and worker: one message per packet (SOCK_SEQPACKET), with a file descriptor attached where
+a message needs one. Between workers: length-prefixed messages on a stream (u32, little-endian). Messages are
+encoded with msgspec by position, each with a numeric tag; both ends always run the same program. An
+undecodable message ends a link between workers.
 """
 
 from __future__ import annotations
@@ -15,17 +16,20 @@
 
 import msgspec
 
-MAX_PACKET = 96 * 1024  # bytes: the longest body and what goes with it
-MAX_UNSENT = 4096  # packets that wait for the other side to read
+MAX_PACKET = 96 * 1024  # bytes: the longest body and its message fields
+MAX_UNSENT = 4096  # packets queued while the other end does not read
 
 
 class Message(msgspec.Struct, array_like=True, tag=True):
-    """Times are ns of the monotonic clock, which is one on a machine."""
+    """Base of all messages. Times are ns of the monotonic clock, which all processes of a machine share."""
 
 
-# --- guardian to worker
+# --- supervisor to worker
 class Start(Message, tag=1):
-    """A life begins. Beside it: a file with the settings as JSON; `environ`: what wins over them."""
+    """Starts a worker's generation. Attached: a file with the settings as JSON; `environ` overrides them.
+
+    `slots` is the number of client connections in the shared table, `log_form` the form of log lines.
+    """
 
     worker: int
     generation: int
@@ -38,21 +42,25 @@
 
 
 class AssignConnection(Message, tag=2):
-    """A client's connection; its descriptor comes beside the message. `consumed`: bytes that other workers
-    have read from it, all of them of requests that have their answers."""
+    """Assigns a client's connection to the worker. Attached: its descriptor.
+
+    `consumed` is the number of bytes that other workers have read from it, all of answered requests.
+    """
 
     slot: int
     consumed: int
 
 
 class OpenLink(Message, tag=3):
-    """A connection to another worker; its descriptor comes beside the message."""
+    """Opens a link to another worker. Attached: the descriptor of its stream."""
 
     worker: int
     generation: int
 
 
 class MembershipUpdate(Message, tag=4):
+    """Announces a new version of `ownership.Membership`."""
+
     version: int
     members: list[int]
     split: dict[int, int]
@@ -60,47 +68,55 @@
 
 
 class Reload(Message, tag=5):
-    """New settings; beside it a file with them, as with Start."""
+    """New settings. Attached: a file with them, as with `Start`."""
 
     environ: dict[str, str]
 
 
 class Drain(Message, tag=6):
-    pass
+    """Asks the worker to answer what it holds and to close connections with their answers."""
 
 
 class AcceptingStopped(Message, tag=7):
-    """No more clients will come."""
+    """The supervisor accepts no more clients: idle connections may close."""
 
 
 class Leave(Message, tag=8):
-    pass
+    """Asks a drained worker to exit."""
 
 
-# --- worker to guardian
+# --- worker to supervisor
 class ReportReady(Message, tag=20):
+    """The worker serves. `servers` is the number of servers it knows."""
+
     servers: int
 
 
 class ConnectionClosed(Message, tag=21):
-    """A client's connection has ended here."""
+    """A client's connection has ended at the worker."""
 
     slot: int
 
 
 class ReportDrained(Message, tag=22):
-    pass
+    """The draining worker owes no more answers."""
 
 
 class ReportLoad(Message, tag=23):
-    """Requests since the last such message, and the busiest accounts: account, requests, most parts."""
+    """The number of requests since the last report, and the busiest accounts.
+
+    `busiest` holds (account, requests, maximum number of parts that its ceiling can be split into).
+    """
 
     total: int
     busiest: list[tuple[int, int, int]]
 
 
 class OrphansHeld(Message, tag=24):
-    """What a worker that is no more had passed here and still waits for its answer: slot and tag."""
+    """The unanswered requests that a lost worker had forwarded to the sender.
+
+    `worker` and `generation` identify the lost worker; `held` are (slot, sequence) pairs.
+    """
 
     worker: int
     generation: int
@@ -108,7 +124,10 @@
 
 
 class OrphanAnswer(Message, tag=25):
-    """The answer to one of those, or to one whose answer may not have been read any more."""
+    """The answer to a request of a lost worker, or one that the lost worker may not have read any more.
+
+    `retry_ms` < 0: no Retry-After.
+    """
 
     slot: int
     sequence: int
@@ -120,6 +139,11 @@
 
 # --- worker to worker
 class ForwardRequest(Message, tag=40):
+    """Forwards a request to the worker that owns its account.
+
+    `request` is the sender's number of it; `slot` and `sequence` identify its connection record.
+    """
+
     request: int
     slot: int
     sequence: int
@@ -139,10 +163,14 @@
 
 
 class CancelRequest(Message, tag=41):
+    """Cancels a forwarded request: its client has left."""
+
     request: int
 
 
 class ForwardedAnswer(Message, tag=42):
+    """The answer to a forwarded request. `retry_ms` < 0: no Retry-After."""
+
     request: int
     status: int
     body: bytes
@@ -160,7 +188,7 @@
 class Channel:
     """One end of a packet channel on an event loop.
 
-    `on_closed` is told once, when the other end is no more.
+    `on_message` is called with each message and its descriptor; `on_closed` once, when the other end is gone.
     """
 
     def __init__(
@@ -179,9 +207,9 @@
         self.loop.add_reader(sock.fileno(), self._read)
 
     def send(self, message: Message, fd: int | None = None) -> bool:
-        """Sends a message, now or when the other end reads again; False: it will not arrive.
+        """Sends a message now, or queues it until the other end reads again. False: it will not arrive.
 
-        With `fd` it is now or never: a descriptor is not kept waiting for an end that does not read.
+        A message with a descriptor is never queued: it is sent now or not at all.
         """
         if self.closed:
             return False
@@ -199,7 +227,7 @@
             self.unsent.append((data, fd))
             self.loop.add_writer(self.sock.fileno(), self._write)
         except OSError:
-            return False  # its end is read soon
+            return False  # the end of the channel is about to be read
         return True
 
     def _send(self, data: bytes, fd: int | None) -> None:
@@ -234,10 +262,11 @@
             self.on_message(self.decode(data), fds[0] if fds else None)
 
     def read_remaining(self) -> None:
-        """Hears all that the other end said before it ended."""
+        """Delivers all messages that the other end sent before it ended."""
         self._read()
 
     def close(self) -> None:
+        """Closes the channel. `on_closed` is not called."""
         if not self.closed:
             self.closed = True
             self.loop.remove_reader(self.sock.fileno())
@@ -247,7 +276,10 @@
 
 
 class WorkerLink(asyncio.Protocol):
-    """One end of a link between workers: framed messages both ways, in order."""
+    """One end of a link between two workers: length-prefixed messages both ways, in order.
+
+    `worker` and `generation` identify the worker at the other end.
+    """
 
     def __init__(
         self,
@@ -267,15 +299,18 @@
         self.buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop when the link is up."""
         assert isinstance(transport, asyncio.Transport) or hasattr(transport, "write")
         self.transport = transport  # type: ignore[assignment]
 
     def send(self, message: Message) -> None:
+        """Sends a message; on a closed link it is dropped."""
         if self.transport is not None:
             data = encode(message)
             self.transport.write(len(data).to_bytes(4, "little") + data)
 
     def data_received(self, data: bytes) -> None:
+        """Decodes the complete messages received so far and passes them to `on_message`."""
         buffer = self.buffer
         buffer += data
         start = 0
@@ -289,5 +324,6 @@
         del buffer[:start]
 
     def connection_lost(self, exc: BaseException | None) -> None:
+        """Called by the event loop when the link has ended."""
         self.transport = None
         self.on_closed(self)
--- a/opalgauge/cores/ownership.py
+++ b/opalgauge/cores/ownership.py
@@ -1,15 +1,15 @@
-"""Which worker decides for which trade account, since when, and what part of the account it may spend.
+"""Which worker decides for which account, since when, and what part of the account's ceiling it may spend.
 
 Pure: no I/O, no clock. An account has one owner, found by rendezvous hashing (Thaler and Ravishankar, "Using
 Name-Based Mappings to Increase Hit Rates", 1998): each worker gets a weight from the account and its own
-number, the greatest owns it, and when a worker goes only its own accounts move. An account that is a large
-part of all traffic is split: its first k workers decide for it side by side, each with a k-th of its parts.
+number, the greatest weight owns it, and when a worker leaves only its own accounts move. An account that
+makes up a large part of all traffic is split: its first k workers decide for it concurrently, each with 1/k
+of the ceiling.
 
-Workers hear of a new roster at different times, but within `settle_time`: who lags for longer is replaced.
-Nobody spends what another may still be spending:
+Workers receive a new membership at different times, but within `settle_time`: a worker that lags for longer
+is replaced. No worker spends what another may still be spending:
 
-- a worker that comes to own an account starts with nothing of its ceiling, `settle_time` after it heard
-  of it;
+- a new owner of an account starts with an empty ceiling, `settle_time` after it received the membership;
 - the parts of an account that was split stay small for `settle_time` after the split has ended.
 """
 
@@ -21,16 +21,19 @@
 from dataclasses import dataclass, field
 from datetime import UTC, datetime, timedelta
 
-MAX_CACHED_ACCOUNTS = 65536  # accounts whose owners are remembered
+MAX_CACHED_ACCOUNTS = 65536
 NEVER = datetime.max.replace(tzinfo=UTC)
-# By then every ceiling's part has filled, and no roster before counts.
+# After this time every part of a ceiling has refilled, and older memberships no longer matter.
 MEMBERSHIP_RETENTION = timedelta(seconds=120)
 
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """Who decides. `split`: accounts with more than one owner, and how many. `initial`: the ingress's first,
-    before which nothing was spent in this life of the ingress."""
+    """The workers that serve, as of a version.
+
+    `split` maps the accounts with several owners to their number of owners. `initial` marks the first
+    membership of this run of the ingress, before which nothing was spent.
+    """
 
     version: int
     members: tuple[int, ...]
@@ -39,12 +42,13 @@
 
 
 def weight(account: int, worker: int) -> int:
+    """The rendezvous weight of a worker for an account."""
     key = account.to_bytes(8, "big") + worker.to_bytes(4, "big")
     return int.from_bytes(hashlib.blake2b(key, digest_size=8).digest(), "big")
 
 
 def owners(account: int, membership: Membership) -> tuple[int, ...]:
-    """The workers that decide for an account, the first of them first; empty without members."""
+    """The workers that decide for an account, by descending weight; empty without members."""
     if not membership.members:
         return ()
     count = membership.split.get(account, 1)
@@ -55,18 +59,21 @@
 
 
 class AccountOwnership:
-    """One worker's view: the roster in force and those that may still be in force elsewhere."""
+    """One worker's view: the current membership, and those that other workers may still act on.
+
+    `settle_time` is the longest time by which workers receive a membership at different times.
+    """
 
     def __init__(self, worker: int, settle_time: timedelta) -> None:
         self.worker, self.settle_time = worker, settle_time
-        self.history: list[tuple[Membership, datetime]] = []  # each and when it was heard; the newest last
+        self.history: list[tuple[Membership, datetime]] = []  # with the time of receipt; the newest last
         self.owners_by_account: dict[int, tuple[int, ...]] = {}
-        self.owned_since: dict[int, datetime | None] = {}  # by account: owned here since; None: always
+        self.owned_since: dict[int, datetime | None] = {}  # by account; None: since the first membership
         self.recently_split = False
         self.round_robin = 0
 
     def apply(self, membership: Membership, now: datetime) -> bool:
-        """A roster was heard; an older one than the last is passed over."""
+        """Takes a membership in. Returns False, and ignores it, if it is not newer than the last."""
         if self.history and membership.version <= self.history[-1][0].version:
             return False
         self.history.append((membership, now))
@@ -79,18 +86,20 @@
 
     @property
     def membership(self) -> Membership:
+        """The newest membership received; version 0 without members before the first."""
         return self.history[-1][0] if self.history else Membership(0, ())
 
     def owners(self, account: int) -> tuple[int, ...]:
+        """The owners of an account by the newest membership."""
         account_owners = self.owners_by_account.get(account)
         if account_owners is None:
             if len(self.owners_by_account) >= MAX_CACHED_ACCOUNTS:
-                self.owners_by_account.clear()  # guards the memory against customers that come only once
+                self.owners_by_account.clear()  # bounds the memory when many accounts come only once
             account_owners = self.owners_by_account[account] = owners(account, self.membership)
         return account_owners
 
     def worker_for(self, account: int) -> int:
-        """The worker to hand an order to: this one where it can be, else the owners in turn."""
+        """The worker that a request goes to: this one if it owns the account, else the owners in turn."""
         account_owners = self.owners(account)
         if not account_owners or self.worker in account_owners:
             return self.worker
@@ -98,7 +107,7 @@
         return account_owners[self.round_robin % len(account_owners)]
 
     def parts(self, account: int, now: datetime) -> int:
-        """Into how many parts the account is split, as far as anybody may still believe it."""
+        """The largest number of parts into which any worker may still split the account."""
         largest = 1
         if not self.recently_split:
             return largest
@@ -111,9 +120,9 @@
         return largest
 
     def exclusive_for(self, account: int, now: datetime) -> timedelta | None:
-        """For how long nobody but this worker and its fellow owners can have spent the account's part.
+        """How long no worker but the current owners can have spent from the account's part of the ceiling.
 
-        None: always, in this life of the ingress. Never below 0.
+        None: in this whole run of the ingress. Never negative.
         """
         if account in self.owned_since:
             since = self.owned_since[account]
@@ -126,7 +135,7 @@
         return max(timedelta(0), now - since - self.settle_time)
 
     def _find_owned_since(self, account: int) -> datetime | None:
-        """When it came to be decided for here, as far as is remembered; None: from the first roster on."""
+        """When this worker became an owner, as far as the history goes; None: with the first membership."""
         since = NEVER
         for membership, received_at in reversed(self.history):
             if self.worker not in owners(account, membership):
@@ -139,24 +148,29 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLoad:
-    """What one worker took in lately: requests, and those of its busiest accounts with the most parts that
-    their ceilings can be cut into."""
+    """The requests that one worker took in during a report interval.
+
+    `busiest` holds (account, requests, maximum number of parts that its ceiling can be split into).
+    """
 
     total: int
     busiest: Sequence[tuple[int, int, int]] = ()
 
 
 class AccountBalancer:
-    """Decides which accounts are split. One worker can bear `1 / workers` of all traffic; an
-    account above half of that is split so far that each part is about half of it again."""
+    """Decides which accounts are split over several workers.
+
+    A worker can carry `1 / workers` of all traffic. An account above half of that is split so far that each
+    part is about half of it again. It is joined again when it has not needed its parts for `calm_period`.
+    """
 
     def __init__(self, workers: int, calm_period: timedelta = timedelta(seconds=10)) -> None:
         self.workers, self.calm_period = workers, calm_period
         self.split: dict[int, int] = {}
-        self.last_needed: dict[int, datetime] = {}  # when an account last needed as many parts as it has
+        self.last_needed: dict[int, datetime] = {}  # when a split account last needed all of its parts
 
     def update(self, loads: Mapping[int, WorkerLoad], now: datetime) -> bool:
-        """Takes the workers' loads of the last round; whether the split accounts have changed."""
+        """Takes in the workers' loads of the last interval. Returns whether the split has changed."""
         total = sum(load.total for load in loads.values())
         counts: dict[int, int] = {}
         max_parts: dict[int, int] = {}
@@ -166,7 +180,7 @@
                 max_parts[account] = min(max_parts.get(account, self.workers), max(1, parts))
         previous = dict(self.split)
         for account, requests in counts.items():
-            # Guards against splitting for a handful of requests.
+            # A handful of requests is too few to split an account for.
             share = requests / total if total >= 50 * self.workers else 0.0
             if share <= 1 / (2 * self.workers):
                 continue
--- a/opalgauge/cores/shared_table.py
+++ b/opalgauge/cores/shared_table.py
@@ -1,12 +1,13 @@
-"""Memory that the guardian and its workers share: beats, fences, open ids, and a mark for each connection.
+"""Memory shared by the supervisor and its workers: heartbeats, fences, open ids and connection records.
 
-Every field has one writer, so nothing is locked and a worker that stalls holds nobody up. It lives in an
-anonymous file that goes with the last process; the guardian hands its descriptor to each worker.
+Every field has a single writer, so there are no locks and a stalled worker blocks nobody. The table lives in
+an anonymous file that disappears with the last process; the supervisor passes its descriptor to each worker.
 
-    header of a seat (64 bytes): beat (ns, monotonic) u64 | fenced life u32
-    ids of a seat: BUCKETS x WAYS x u64, the hashes of the ids open there
-    mark of a connection (64 bytes), by its number: what `takeover.Mark` says. Which attempts were begun
-    stands in eight places that requests take in turn, so that a late word about one does not cover another's.
+    worker header (64 bytes): heartbeat (ns, monotonic) u64 | highest fenced generation u32
+    worker ids: BUCKETS x WAYS x u64, the hashes of the ids of open requests
+    connection record (64 bytes), by slot: the fields of `takeover.ConnectionRecord`. Sequence numbers of
+    attempted requests go to eight entries in turn, so that a late write about one request does not overwrite
+    the entry of another.
 """
 
 from __future__ import annotations
@@ -20,23 +21,28 @@
 from opalgauge.cores.takeover import ConnectionRecord
 
 HEADER_SIZE = 64
-BUCKETS, WAYS = 1024, 8
+BUCKETS, WAYS = 1024, 8  # of the set-associative hash table of each worker
 IDS_SIZE = BUCKETS * WAYS * 8
-RECORD_FORMAT = struct.Struct("<QQQIBB")  # consumed, written, until, tag, owner, harmless
+RECORD_FORMAT = struct.Struct("<QQQIBB")  # consumed, written, deadline_ns, sequence, owner, repeatable
 RECORD_SIZE = 64
-OPEN_OFFSET, ATTEMPTED_OFFSET, ATTEMPTED_ENTRIES = 30, 32, 8  # offsets within a mark, and places for what ran
+# Byte offsets within a connection record, and the number of entries for attempted sequence numbers.
+OPEN_OFFSET, ATTEMPTED_OFFSET, ATTEMPTED_ENTRIES = 30, 32, 8
 U32 = struct.Struct("<I")
 U64 = struct.Struct("<Q")
 
 
 def id_hash(correlation: str) -> bytes:
-    """Eight bytes, never all zero, which stands for a free place."""
+    """Hashes a correlation id to eight bytes that are never all zero: zero marks a free entry."""
     digest = hashlib.blake2b(correlation.encode("utf-8", "surrogateescape"), digest_size=8).digest()
     return digest if any(digest) else b"\1" + digest[1:]
 
 
 class SharedTable:
-    """The shared memory, as one process sees it."""
+    """The shared memory, as mapped by one process.
+
+    `workers` is the number of workers, `slots` the number of client connections. Without `fd` a new table is
+    created.
+    """
 
     def __init__(self, workers: int, slots: int, fd: int | None = None) -> None:
         self.workers, self.slots = workers, slots
@@ -50,33 +56,37 @@
         self.memory = mmap.mmap(fd, size)
         self.header_words = memoryview(self.memory)[: workers * HEADER_SIZE].cast("I")
 
-    # --- beats and fences ----------------------------------------------------------------------------------
+    # --- heartbeats and fences -----------------------------------------------------------------------------
     def record_heartbeat(self, worker: int) -> None:
+        """Writes the current monotonic time as the worker's last heartbeat."""
         U64.pack_into(self.memory, worker * HEADER_SIZE, time.monotonic_ns())
 
     def heartbeats(self) -> list[int]:
-        """When each seat last showed that it moves, in ns of the monotonic clock; 0: never."""
+        """The last heartbeat of each worker, in ns of the monotonic clock; 0: none yet."""
         return [U64.unpack_from(self.memory, worker * HEADER_SIZE)[0] for worker in range(self.workers)]
 
     def fence(self, worker: int, generation: int) -> None:
+        """Forbids a worker's generations up to this one to act any more."""
         U32.pack_into(self.memory, worker * HEADER_SIZE + 8, generation)
 
     def is_fenced(self, worker: int, generation: int) -> bool:
+        """Whether this generation of a worker has been fenced off."""
         return self.header_words[worker * HEADER_SIZE // 4 + 2] >= generation
 
     def clear_worker(self, worker: int) -> None:
-        """Forgets the open ids of a life that has ended."""
+        """Clears the open ids and the heartbeat of a generation that has ended."""
         offset = self.ids_offset + worker * IDS_SIZE
         self.memory[offset : offset + IDS_SIZE] = bytes(IDS_SIZE)
         U64.pack_into(self.memory, worker * HEADER_SIZE, 0)
 
     # --- open ids ------------------------------------------------------------------------------------------
     def claim_id(self, worker: int, digest: bytes) -> int | None:
-        """Enters an id as open at a seat and gives its place, or None: it is open at another seat.
+        """Registers an id as open at a worker. Returns its entry, or None if it is open at another worker.
 
-        The entry is made before the others' are read: of two seats that are told one id at the same moment at
-        least one sees the other, and both turning it away is no harm, as no honest client sends an id twice.
-        A bucket that is full (one in 10^6 at 512 open requests a seat) is as good as a clash.
+        The entry is written before the other workers' entries are read: if two workers receive the same id at
+        the same moment, at least one of them sees the other. Both may reject it, which does no harm, as no
+        honest client sends an id twice. A full bucket (one in 10^6 at 512 open requests per worker) counts
+        as a duplicate.
         """
         bucket = int.from_bytes(digest[:4], "little") % BUCKETS * WAYS * 8
         own_bucket = self.ids_offset + worker * IDS_SIZE + bucket
@@ -100,12 +110,17 @@
         return entry
 
     def release_id(self, entry: int) -> None:
+        """Frees an entry that `claim_id` returned."""
         self.memory[entry : entry + 8] = bytes(8)
 
-    # --- marks ---------------------------------------------------------------------------------------------
+    # --- connection records --------------------------------------------------------------------------------
     def reset_connection(self, slot: int, consumed: int = 0) -> None:
-        """A connection begins, or goes on at another worker after `consumed` bytes."""
-        # Tags go on: guards a request against what is still said of the one before it in the same place.
+        """Resets the record of a connection that is new or that moves to another worker.
+
+        `consumed` is the number of bytes that were read from it before.
+        """
+        # The sequence continues: late writes about an earlier request in this slot must not be taken for the
+        # next one's.
         offset = self.records_offset + slot * RECORD_SIZE
         sequence = self.connection_record(slot).sequence
         RECORD_FORMAT.pack_into(self.memory, offset, consumed, 0, 0, sequence, 0, 0)
@@ -121,7 +136,10 @@
         written: int,
         deadline_ns: int,
     ) -> None:
-        """A request on the connection is about to be decided about; said before anything is done about it."""
+        """Records a request on the connection as open. Called before anything is done about the request.
+
+        Byte counts run from the start of the connection; `deadline_ns` is on the monotonic clock.
+        """
         offset = self.records_offset + slot * RECORD_SIZE
         RECORD_FORMAT.pack_into(
             self.memory, offset, consumed, written, deadline_ns, sequence, owner, repeatable
@@ -129,21 +147,25 @@
         self.memory[offset + OPEN_OFFSET] = 1
 
     def record_answer(self, slot: int, consumed: int | None) -> None:
-        """The answer has been written: the connection is between requests, `consumed` bytes from its start
-        (None: as many as were said when the request was opened)."""
+        """Records that the answer has been written: the connection is between requests.
+
+        `consumed` is the number of bytes read since the connection's start; None keeps the number that was
+        recorded with the request.
+        """
         offset = self.records_offset + slot * RECORD_SIZE
         if consumed is not None:
             U64.pack_into(self.memory, offset, consumed)
         self.memory[offset + OPEN_OFFSET] = 0
 
     def record_attempt(self, slot: int, sequence: int) -> None:
-        """An attempt for the request is about to be written. Its owner says so."""
+        """Records that an attempt of the request is about to be written. Called by the request's owner."""
         offset = (
             self.records_offset + slot * RECORD_SIZE + ATTEMPTED_OFFSET + sequence % ATTEMPTED_ENTRIES * 4
         )
         U32.pack_into(self.memory, offset, sequence)
 
     def connection_record(self, slot: int) -> ConnectionRecord:
+        """Reads the record of a connection."""
         offset = self.records_offset + slot * RECORD_SIZE
         consumed, written, deadline_ns, sequence, owner, repeatable = RECORD_FORMAT.unpack_from(
             self.memory, offset
--- a/opalgauge/cores/sockets.py
+++ b/opalgauge/cores/sockets.py
@@ -1,6 +1,7 @@
-"""What a client's socket itself says of how far its worker came, and a final answer written to it.
+"""Reads from a client's socket how far its worker came, and writes a final answer to it.
 
-`struct tcp_info` is read as linux/tcp.h lays it out (bytes_received since 4.1, bytes_sent since 4.19).
+`struct tcp_info` is read with the layout of linux/tcp.h (bytes_received since Linux 4.1, bytes_sent since
+4.19).
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 from opalgauge.cores.takeover import SocketProgress
 
-ESTABLISHED, CLOSE_WAIT = 1, 8
-BYTES_RECEIVED = struct.Struct("<Q")  # at 128
-BYTES_UNSENT = struct.Struct("<I")  # at 144
-BYTES_SENT = struct.Struct("<QQ")  # at 200: bytes_sent, bytes_retrans
+ESTABLISHED, CLOSE_WAIT = 1, 8  # TCP states
+BYTES_RECEIVED = struct.Struct("<Q")  # tcpi_bytes_received, at offset 128
+BYTES_UNSENT = struct.Struct("<I")  # tcpi_notsent_bytes, at offset 144
+BYTES_SENT = struct.Struct("<QQ")  # tcpi_bytes_sent and tcpi_bytes_retrans, at offset 200
 REASONS = {200: "OK", 429: "Too Many Requests", 502: "Bad Gateway", 503: "Service Unavailable",
          504: "Gateway Timeout"}  # fmt: skip
-MAX_READS = 100  # at a connection on which bytes keep coming
-LINGER = 1.0  # s for the client to read its answer and close
+MAX_READS = 100  # readings of the counters while bytes keep arriving
+LINGER = 1.0  # s that the client has to read its answer and close
 
 
 def _tcp_info(sock: socket.socket) -> bytes:
@@ -29,7 +30,7 @@
 
 
 def bytes_written(sock: socket.socket) -> int:
-    """All bytes that were ever written to a connection, sent or still to be sent; 0 once it is broken."""
+    """The number of bytes ever written to a connection, sent or unsent; 0 once the connection is broken."""
     try:
         info = _tcp_info(sock)
     except OSError:
@@ -39,7 +40,7 @@
 
 
 def bytes_unread(sock: socket.socket) -> int:
-    """Bytes that have come and that nobody has read; 0 once the connection is broken."""
+    """The number of received bytes that have not been read; 0 once the connection is broken."""
     try:
         return int(struct.unpack("i", fcntl.ioctl(sock, termios.FIONREAD, bytes(4)))[0])
     except OSError:
@@ -47,14 +48,14 @@
 
 
 def socket_progress(sock: socket.socket) -> SocketProgress:
-    """How far a connection came, whoever read from it and wrote to it."""
+    """How many bytes were read from and written to a connection, by whichever process."""
     try:
         info = _tcp_info(sock)
         for _ in range(MAX_READS):
             pending, previous = bytes_unread(sock), info
             info = _tcp_info(sock)
             if info[128:136] == previous[128:136]:
-                break  # guards against bytes that come between the two looks
+                break  # no bytes arrived between the two readings
     except OSError:
         return SocketProgress(0, 0, False)
     received = BYTES_RECEIVED.unpack_from(info, 128)[0]
@@ -64,7 +65,7 @@
 
 
 def answer_bytes(status: int, body: bytes = b"", content_type: str = "", retry_ms: int = -1) -> bytes:
-    """A whole last answer on a connection."""
+    """A complete final answer, after which the connection closes. `retry_ms` < 0: no Retry-After."""
     head = [f"HTTP/1.1 {status} {REASONS.get(status, 'Answer')}", f"Content-Length: {len(body)}"]
     if content_type:
         head.append(f"Content-Type: {content_type}")
@@ -74,7 +75,10 @@
 
 
 class FinalAnswer:
-    """Writes the last answer to a connection, then closes it without breaking what is still on its way."""
+    """Writes the final answer to a connection, then closes it without cutting off what is still in flight.
+
+    `on_closed` is called once, possibly before the constructor returns.
+    """
 
     def __init__(self, sock: socket.socket, data: bytes, on_closed: Callable[[], None]) -> None:
         self.sock, self.data, self.on_closed = sock, memoryview(data), on_closed
@@ -107,7 +111,7 @@
         self.loop.add_reader(self.sock.fileno(), self._read)
 
     def _read(self) -> None:
-        # Guards the answer against the reset that closing with unread bytes would send.
+        # Closing with unread bytes would send a reset, which could destroy the answer.
         try:
             while self.sock.recv(65536):
                 pass
--- a/opalgauge/cores/state_machine.py
+++ b/opalgauge/cores/state_machine.py
@@ -1,7 +1,8 @@
-"""The guardian's decisions: which worker lives, which has stalled, who decides for what, when to stop.
+"""The supervisor's decisions: starting, fencing and restarting workers, publishing the membership, draining.
 
-Pure: `Watch.step(event, now) -> effects`, no I/O and no clock. A worker is a seat that one life after another
-takes. A seat's next life begins only after the last is known to have ended: at no time two of them act.
+Pure: `StateMachine.step(event, now) -> effects`, no I/O and no clock. A worker is a number whose process is
+replaced, generation after generation. The next generation starts only after the last is known to have ended:
+no two generations of a worker ever act at the same time.
 """
 
 from __future__ import annotations
@@ -13,52 +14,62 @@
 
 from opalgauge.cores.ownership import AccountBalancer, Membership, WorkerLoad
 
-STABLE_AFTER = timedelta(seconds=30)  # a life that served so long was no part of a crash loop
-CRASH_LOOP_EXITS = 3  # ends in a row that are told as one
-ACCEPT_GRACE = timedelta(milliseconds=550)  # clients go on connecting for so long after a drain was asked for
-LEAVE_DELAY = timedelta(milliseconds=100)  # between the last worker's word that nothing is owed, and leaving
+STABLE_AFTER = timedelta(seconds=30)  # a worker that served this long was not crash looping
+CRASH_LOOP_EXITS = 3  # consecutive exits that are logged as a crash loop
+ACCEPT_GRACE = timedelta(milliseconds=550)  # how long clients may go on connecting after a drain request
+LEAVE_DELAY = timedelta(milliseconds=100)  # from the last worker's report that it is drained to the exit
 
 
 @dataclass(frozen=True, slots=True)
 class SupervisorSettings:
+    """The supervisor's settings; `workers` takes effect at the next start of the ingress only."""
+
     workers: int
     stall_after: timedelta = timedelta(milliseconds=400)
     restart_pause: timedelta = timedelta(milliseconds=250)
     restart_pause_max: timedelta = timedelta(seconds=15)
-    start_timeout: timedelta = timedelta(seconds=20)  # from a life's start until it serves
+    start_timeout: timedelta = timedelta(seconds=20)  # from the start of a process until it serves
     drain_timeout: timedelta = timedelta(seconds=5)  # from SIGTERM until the last worker is killed
 
 
 class Stage(Enum):
+    """Where a worker is in its life cycle."""
+
     DOWN = "down"
     STARTING = "starting"
     SERVING = "serving"
-    ENDING = "ending"  # killed, and not yet known to have ended
+    ENDING = "ending"  # killed, not yet known to have exited
     LEFT = "left"  # will not be started again
 
 
 @dataclass(slots=True)
 class WorkerState:
+    """What is known of one worker."""
+
     number: int
     stage: Stage = Stage.DOWN
     generation: int = 0
-    stage_since: datetime | None = None  # of the stage
+    stage_since: datetime | None = None  # start of the current stage
     heartbeat: datetime | None = None
     pause: timedelta = timedelta(0)
     restart_at: datetime | None = None
-    exits: int = 0  # in a row, without a steady life between
-    drained: bool = False  # draining, and nothing is owed
+    exits: int = 0  # consecutive, without a stable generation between them
+    drained: bool = False  # owes no answers any more
 
 
 # --- events
 @dataclass(frozen=True, slots=True)
 class WorkerReady:
+    """A worker's process has started and can serve."""
+
     worker: int
     generation: int
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerExited:
+    """A worker's process has ended, or could not be started; `reason` says how."""
+
     worker: int
     generation: int
     reason: str
@@ -66,19 +77,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed. `heartbeats`: when each seat's life last showed that it moves."""
+    """Time has passed. `heartbeats` holds the time of each worker's last heartbeat."""
 
     heartbeats: Mapping[int, datetime]
 
 
 @dataclass(frozen=True, slots=True)
 class LoadsReported:
+    """The loads of the workers over the last interval."""
+
     loads: Mapping[int, WorkerLoad]
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerDrained:
-    """A draining worker owes nothing any more."""
+    """A draining worker owes no answers any more."""
 
     worker: int
     generation: int
@@ -86,11 +99,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    pass
+    """The supervisor was asked to stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
+    """The settings were read again."""
+
     settings: SupervisorSettings
 
 
@@ -100,13 +115,15 @@
 # --- effects
 @dataclass(frozen=True, slots=True)
 class SpawnWorker:
+    """Starts the process of a worker's generation."""
+
     worker: int
     generation: int
 
 
 @dataclass(frozen=True, slots=True)
 class KillWorker:
-    """Ends a life at once and for good; `WorkerExited` follows when it is known to have ended."""
+    """Fences off a generation and kills its process; `WorkerExited` follows once that has ended."""
 
     worker: int
     generation: int
@@ -114,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeOverConnections:
-    """The life has ended: what it held of the clients' is settled. `lost`: all seats that are not at work."""
+    """Settles the connections of a generation that has ended. `lost`: all workers known not to be acting."""
 
     worker: int
     generation: int
@@ -123,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkWorker:
-    """The worker serves: it is linked with those that serve already, and connections are dealt to it."""
+    """Links a ready worker with those that serve already. It is assigned connections from now on."""
 
     worker: int
     generation: int
@@ -132,36 +149,42 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishMembership:
+    """Sends a new membership to all workers."""
+
     membership: Membership
 
 
 @dataclass(frozen=True, slots=True)
 class StartAccepting:
-    """All workers serve for the first time: clients may come."""
+    """Opens the listener: all workers serve for the first time."""
 
 
 @dataclass(frozen=True, slots=True)
 class BroadcastDrain:
-    """Every worker is told to answer what it holds."""
+    """Asks every worker to drain."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopAccepting:
-    """No more clients are taken; the workers close the connections that stand idle."""
+    """Closes the listener, and lets the workers close idle connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class BroadcastLeave:
-    """Nothing is owed anywhere: the workers may go."""
+    """Lets all workers exit: none of them owes an answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Exit:
+    """Ends the supervisor with an exit status."""
+
     code: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
+    """Writes a line to the log."""
+
     text: str
 
 
@@ -181,7 +204,7 @@
 
 
 class StateMachine:
-    """All that the guardian knows of its workers."""
+    """The state of all workers of an ingress, and the decisions about them."""
 
     def __init__(self, settings: SupervisorSettings) -> None:
         self.settings = settings
@@ -196,11 +219,13 @@
         self.effects: list[Effect] = []
 
     def start(self, now: datetime) -> list[Effect]:
+        """Starts all workers."""
         for worker in self.workers:
             self._spawn(worker, now)
         return self._take_effects()
 
     def step(self, event: Event, now: datetime) -> list[Effect]:
+        """Takes an event and returns what is to be done about it, in this order."""
         if isinstance(event, WorkerReady):
             self._ready(event, now)
         elif isinstance(event, WorkerExited):
@@ -221,7 +246,7 @@
                     BroadcastDrain(),
                 ]
         else:
-            # The number of workers counts from the next start on.
+            # The number of workers changes with the next start of the ingress only.
             self.settings = replace(event.settings, workers=self.settings.workers)
         return self._take_effects()
 
@@ -231,6 +256,7 @@
 
     @property
     def serving(self) -> tuple[int, ...]:
+        """The numbers of the workers that serve."""
         return tuple(worker.number for worker in self.workers if worker.stage is Stage.SERVING)
 
     def _publish(self) -> None:
@@ -280,7 +306,7 @@
             worker.stage, worker.drained = Stage.LEFT, True
             return
         if not self.accepting_started and previous_stage is Stage.STARTING:
-            # Guards against a start that cannot work going on for ever: what ends one ends them all.
+            # What ends one worker before it serves ends them all: a start that fails is not retried forever.
             self.effects += [
                 LogLine(f"cannot start: worker {worker.number} ended before it served ({event.reason})"),
                 Exit(2),
@@ -314,7 +340,7 @@
     def _tick(self, event: Tick, now: datetime) -> None:
         stall_after = self.settings.stall_after
         if self.last_tick is not None and now - self.last_tick > stall_after / 2:
-            # Guards the workers against a pause of the guardian itself, or of the whole machine.
+            # The supervisor itself, or the whole machine, was paused: the workers get time to catch up.
             self.stall_grace_until = now + stall_after
         self.last_tick = now
         in_grace = self.stall_grace_until is not None and now < self.stall_grace_until
--- a/opalgauge/cores/supervisor.py
+++ b/opalgauge/cores/supervisor.py
@@ -1,7 +1,8 @@
-"""The guardian: takes clients' connections in, deals them to the workers, and keeps each one answerable.
+"""Accepts clients' connections, assigns them to workers, and settles them when a worker is lost.
 
-It keeps a descriptor of every connection that it deals. When a worker ends, or stalls and is killed, what was
-owed on its connections is settled from here by `takeover.course`. What it does about workers `watch` decides.
+The supervisor keeps a descriptor of every connection that it assigns. When a worker exits, or stalls and is
+killed, the supervisor settles what was owed on its connections, as `takeover.choose_disposition` decides.
+Decisions about the workers themselves are made by `state_machine.StateMachine`.
 """
 
 from __future__ import annotations
@@ -33,42 +34,42 @@
 from opalgauge.memory.drain import EXIT_MARGIN, DrainSchedule, kill_after
 from opalgauge.wire.listener import Acceptor, bind
 
-TICK_INTERVAL = 0.025  # s between looks at the beats
-LOAD_INTERVAL = 1.0  # s between weighings of the accounts
+TICK_INTERVAL = 0.025  # s between checks of the heartbeats
+LOAD_INTERVAL = 1.0  # s between decisions on which accounts are split
 BACKLOG = 512
-ASSIGN_TRIES, ASSIGN_PAUSE = 40, 0.01  # tries to deal a connection, and s between them
-# s that a client has to ask again on a connection whose worker ended just after its answer
+ASSIGN_TRIES, ASSIGN_PAUSE = 40, 0.01  # tries to assign a connection, and s between them
+# s that a client has to send its next request when its worker ended just after the answer
 NEXT_REQUEST_WAIT = 1.0
-MAX_EARLY_ANSWERS = 4096  # answers kept for connections that are about to be taken over
-RETRY_AFTER_MS = 200  # a client that is refused here finds another worker by then
+MAX_EARLY_ANSWERS = 4096  # answers kept for connections that have yet to be taken over
+RETRY_AFTER_MS = 200  # a refused client finds another worker by then
 
 
 @dataclass(slots=True)
 class Client:
-    """A client's connection: our descriptor of it, and which life of which worker has it."""
+    """A client's connection: the supervisor's descriptor of it, and the worker generation that holds it."""
 
     sock: socket.socket
     worker: int
     generation: int
-    awaited: ConnectionRecord | None = None  # its worker is gone, and another is at work on this request
+    awaited: ConnectionRecord | None = None  # its worker is lost, another one decides this request
     timer: asyncio.TimerHandle | None = None
 
 
 @dataclass(slots=True)
 class WorkerProcess:
-    """A worker's process."""
+    """The process of a worker's generation."""
 
     number: int
     generation: int
     channel: messages.Channel
     process: asyncio.subprocess.Process | None = None
     exited: bool = False
-    connections: int = 0  # connections
+    connections: int = 0
     load: WorkerLoad = field(default_factory=lambda: WorkerLoad(0))
 
 
 def settings_memfd(text: str) -> int:
-    """A descriptor of the settings: a packet could be too short for them."""
+    """Returns the descriptor of an anonymous file with the settings, which may be too long for a packet."""
     fd = os.memfd_create("opalgauge-settings")
     os.write(fd, text.encode())
     return fd
@@ -81,8 +82,8 @@
         self.reading, self.config, self.source, self.log = reading, config, source, log
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self.kill_after = kill_after(config.house.settings.classes)  # from SIGTERM to SIGKILL, at least
-        self.answer_deadline: datetime | None = None  # draining: every request has its answer then
+        self.kill_after = kill_after(config.house.settings.classes)  # time from SIGTERM to SIGKILL, at least
+        self.answer_deadline: datetime | None = None  # while draining: every request is answered by then
         self.machine = state_machine.StateMachine(self._supervisor_settings(reading))
         self.slots = max(16, config.house.most_clients // 2)
         self.free_slots = list(range(self.slots - 1, -1, -1))
@@ -90,7 +91,8 @@
         self.table = SharedTable(reading.workers, self.slots)
         self.workers: dict[int, WorkerProcess] = {}
         self.early_answers: dict[tuple[int, int], messages.OrphanAnswer] = {}
-        # What each worker still holds for a life that is no more: by that life, by who tells it.
+        # By lost (worker, generation), then by surviving worker: the requests (slot, sequence) that it still
+        # decides for the lost one.
         self.held_orphans: dict[tuple[int, int], dict[int, set[tuple[int, int]]]] = {}
         self.listener: socket.socket | None = None
         self.acceptor: Acceptor | None = None
@@ -119,6 +121,7 @@
         )  # fmt: skip
 
     def step(self, event: state_machine.Event) -> None:
+        """Passes an event to the state machine and carries out the effects."""
         self._perform(self.machine.step(event, self.clock.now()))
 
     def _perform(self, effects: list[state_machine.Effect]) -> None:
@@ -126,7 +129,10 @@
             self.handlers[type(effect)](effect)
 
     async def serve(self) -> int:
-        """Serves until it is asked to stop; the exit status."""
+        """Serves until asked to stop; returns the exit status.
+
+        Raises OSError if the address is not available.
+        """
         self.listener = bind(*self.config.listen)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self._drain)
@@ -235,8 +241,8 @@
         fd = settings_memfd(told_again(self.reading))
         try:
             if not worker.channel.send(message, fd) and not worker.exited:
-                # Guards against a worker on old settings: one that does not read is replaced soon, and its
-                # next life starts with the new ones.
+                # Retried, so that no worker stays on old settings. One that does not read is replaced soon,
+                # and its next generation starts with the new settings.
                 self.loop.call_later(0.05, self._resend_settings, worker, message)
         finally:
             os.close(fd)
@@ -258,7 +264,7 @@
                 worker.process.kill()
 
     def _link(self, effect: state_machine.LinkWorker) -> None:
-        """Links a worker that serves now with those that do already."""
+        """Links a worker that has become ready with those that serve already."""
         worker = self.workers[effect.worker]
         for number in effect.serving:
             other = self.workers.get(number)
@@ -314,7 +320,7 @@
         try:
             self.listener.listen(BACKLOG)
         except OSError as bad:
-            # Guards against another program that took the address while the workers came up.
+            # Another program may have taken the address while the workers came up.
             self.log(f"cannot start: {bad}")
             self._exit(state_machine.Exit(2))
             return
@@ -333,12 +339,12 @@
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if not self.free_slots:
-            sock.close()  # the workers make room as they would alone; here every place is taken
+            sock.close()  # all slots are taken; the workers close idle connections to make room
             return
         self._assign(self.free_slots.pop(), Client(sock, -1, 0), 0)
 
     def _assign(self, slot: int, client: Client, consumed: int, tries: int = ASSIGN_TRIES) -> None:
-        """Gives a connection, between two requests, to the worker that holds the fewest."""
+        """Assigns a connection that is between requests to the worker with the fewest connections."""
         self.clients[slot] = client
         client.awaited = None
         self.table.reset_connection(slot, consumed)
@@ -350,13 +356,13 @@
                 return
         client.worker, client.generation = -1, 0
         if tries > 1:
-            # Guards against a burst, as after a worker's end, that fills the channel of the one that is left.
+            # Retried: a burst, as after the end of a worker, can fill the channel of the remaining one.
             self.loop.call_later(ASSIGN_PAUSE, self._assign, slot, client, consumed, tries - 1)
         else:
             self._dismiss(slot, client)
 
     def _release(self, slot: int) -> None:
-        """The connection has ended at its worker: our descriptor of it is the last."""
+        """Closes the last descriptor of a connection that has ended at its worker."""
         client = self.clients.pop(slot)
         if client.timer is not None:
             client.timer.cancel()
@@ -370,25 +376,25 @@
             worker.connections -= 1
 
     def _send_final(self, slot: int, data: bytes) -> None:
-        """The last answer on a connection. Its place stays taken until it is closed."""
+        """Writes the final answer on a connection. Its slot stays taken until it is closed."""
         client = self.clients.pop(slot)
         if client.timer is not None:
             client.timer.cancel()
         self._uncount(client)
-        # The loop holds on to it until it is closed, which may be at once.
+        # The event loop keeps the object alive until the connection is closed, which may be at once.
         sockets.FinalAnswer(client.sock, data, lambda: self.free_slots.append(slot))
 
     def _refuse(self, slot: int) -> None:
         self._send_final(slot, sockets.answer_bytes(503, retry_ms=RETRY_AFTER_MS))
 
     def _dismiss(self, slot: int, client: Client) -> None:
-        """Nobody takes the connection: what it has just asked is refused, and a quiet one closed."""
+        """Ends a connection that no worker takes: refuses a request that it has just sent, else closes it."""
         if sockets.bytes_unread(client.sock):
             self._refuse(slot)
         else:
             self._send_final(slot, b"")
 
-    # --- what a worker left behind -------------------------------------------------------------------------
+    # --- connections of a lost worker ----------------------------------------------------------------------
     def _take_over(self, effect: state_machine.TakeOverConnections) -> None:
         self.table.clear_worker(effect.worker)
         for slot, client in list(self.clients.items()):
@@ -425,7 +431,7 @@
             self._send_final(slot, b"")
 
     def _reassign(self, slot: int, client: Client) -> None:
-        """A connection of a life that has ended, between two requests."""
+        """Moves a connection that is between requests from a lost worker to another."""
         if self.draining:
             self._dismiss(slot, client)
         else:
@@ -433,7 +439,7 @@
             self._assign(slot, client, sockets.socket_progress(client.sock).consumed)
 
     def _on_next_request(self, slot: int) -> None:
-        """A connection that was left with its answer has asked again, has ended, or was quiet for long."""
+        """An answered connection has sent its next request, has ended, or has been idle for too long."""
         client = self.clients[slot]
         self.loop.remove_reader(client.sock.fileno())
         if client.timer is not None:
@@ -445,11 +451,11 @@
             self._send_final(slot, b"")
 
     def _settle_orphan(self, slot: int, status_if_attempted: int = 502) -> None:
-        """Nobody is at work on it any more, or its time is up."""
+        """Answers a request that no worker decides any more, or whose time is up."""
         client = self.clients.get(slot)
         if client is None or client.awaited is None:
             return
-        # What its owner began since its holder ended stands on the board, not in the mark that was read then.
+        # Read again: the owner may have made an attempt since the holder ended.
         record = self.table.connection_record(slot)
         if unowned_disposition(record) is Disposition.FAIL:
             self._send_final(slot, sockets.answer_bytes(status_if_attempted))
@@ -461,7 +467,7 @@
         if client is None:
             return
         if client.awaited is None:
-            # Its worker's end has yet to be heard of here, or the answer had arrived there.
+            # Its worker's end is not known here yet, or that worker did receive the answer.
             self.early_answers[answer.slot, answer.sequence] = answer
             while len(self.early_answers) > MAX_EARLY_ANSWERS:
                 del self.early_answers[next(iter(self.early_answers))]
@@ -473,18 +479,22 @@
 
 
 def raise_descriptor_limit() -> None:
-    """As many descriptors as the system allows: the settings say how many of them are used."""
+    """Raises the descriptor limit to what the system allows; the settings bound how many are used."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     with contextlib.suppress(ValueError, OSError):
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
 async def serve(reading: Reading, config: Config, source: Source, log: Log) -> int:
+    """Runs a supervisor until it is asked to stop; returns the exit status."""
     return await Supervisor(reading, config, source, log).serve()
 
 
 def run(reading: Reading, source: Source, log: Log) -> int:
-    """Serves on several cores until asked to stop. Raises ConfigError and OSError where it cannot start."""
+    """Serves on several cores until asked to stop; returns the exit status.
+
+    Raises ConfigError or OSError if it cannot start.
+    """
     config = make_config(reading.told, reading.environ)
     if config.house.most_clients < 2 * reading.workers * 8:
         raise ConfigError(f"sockets are too few for {reading.workers} workers")
--- a/opalgauge/cores/takeover.py
+++ b/opalgauge/cores/takeover.py
@@ -1,9 +1,9 @@
-"""What becomes of a client's connection whose worker is no more.
+"""Decides what happens to a client's connection after its worker was lost.
 
-Pure: no I/O, no clock. A worker that stalls is killed before anything else is done, so that what it did is
-all that it will ever have done; the kernel and the board then say how far that was. A connection's
-`ConnectionRecord` is what the worker wrote down about it, always before it did the thing; `SocketProgress`
-is what its socket has counted.
+Pure: no I/O, no clock. A stalled worker is killed before anything else is done, so its state can no longer
+change; the kernel and the shared table then tell how far it came. `ConnectionRecord` is the write-ahead
+record of a connection: the worker writes each step before it takes it. `SocketProgress` is what the kernel
+counted on the connection's socket.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# For `ConnectionRecord.consumed`: bytes of a further request may have been read with the last one.
+# Value of `ConnectionRecord.consumed` when bytes of another request may have been read with the last one.
 CONSUMED_UNKNOWN = 2**63
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionRecord:
-    """A connection as its worker left it. Bytes are counted from the connection's start.
+    """A connection as its worker left it. Byte counts run from the connection's start.
 
-    `sequence` numbers the requests on the connection; `open`: that request has no answer yet, and `owner`
-    decides about it. `attempted`: the sequence of the last request with an attempt that was about to be
-    written.
+    `sequence` numbers the requests on the connection; `open` means that this request has no answer yet and
+    that the worker `owner` decides about it. `attempted` is the sequence of the last request of which an
+    attempt was about to be written. `repeatable` means that sending the request twice does no harm.
     """
 
     open: bool = False
@@ -31,12 +31,12 @@
     attempted: int = 0
     consumed: int = 0  # up to the end of the last request
     written: int = 0  # before its answer
-    deadline_ns: int = 0  # ns of the monotonic clock: its client waits no longer
+    deadline_ns: int = 0  # on the monotonic clock; the client stops waiting then
 
 
 @dataclass(frozen=True, slots=True)
 class SocketProgress:
-    """What the socket counted: bytes read from it and written to it, and whether it still stands."""
+    """What the kernel counted: bytes read from and written to a socket, and whether it is still connected."""
 
     consumed: int
     written: int
@@ -44,16 +44,19 @@
 
 
 class Disposition(Enum):
-    CLOSE = "close"  # nothing is owed on it
-    REASSIGN = "deal"  # as good as new: another worker takes it
-    AWAIT_NEXT_REQUEST = "keep"  # it has its answer: dealt on once it asks again: it had all of the answer
-    AWAIT_OWNER = "await"  # another worker is at work on its request; its answer goes out here
-    REFUSE = "refuse"  # nothing has run, or a repeat is harmless
-    FAIL = "fail"  # it may have run
+    """What the supervisor does with a connection whose worker was lost."""
+
+    CLOSE = "close"  # no answer is owed on it
+    REASSIGN = "deal"  # it is between requests: another worker takes it
+    # Answered. Reassigned once the client sends its next request: it has received the whole answer then.
+    AWAIT_NEXT_REQUEST = "keep"
+    AWAIT_OWNER = "await"  # another worker is still deciding its request; the supervisor writes that answer
+    REFUSE = "refuse"  # no attempt was made, or a repeat does no harm
+    FAIL = "fail"  # an attempt may have been executed
 
 
 def unowned_disposition(record: ConnectionRecord) -> Disposition:
-    """The final answer to an open request that nobody is at work on any more."""
+    """The final answer to an open request that no worker decides about any more."""
     return (
         Disposition.FAIL
         if record.attempted == record.sequence and not record.repeatable
@@ -64,18 +67,18 @@
 def choose_disposition(
     record: ConnectionRecord, progress: SocketProgress, lost: frozenset[int]
 ) -> Disposition:
-    """What to do about a connection; `lost`: the workers that are no more, its own among them."""
+    """Decides what to do with a connection. `lost` are the workers that are gone, its own among them."""
     if not progress.established:
         return Disposition.CLOSE
     if record.open:
         if progress.written > record.written:
-            # Guards against a second answer: this one has left, in whole or in part. And against closing on
-            # a client that has read it and is just asking again.
+            # The answer has been written, in whole or in part, so a second one must not follow. A client that
+            # has read it and is sending its next request must not find the connection closed.
             return (
                 Disposition.AWAIT_NEXT_REQUEST if progress.consumed == record.consumed else Disposition.CLOSE
             )
         return unowned_disposition(record) if record.owner in lost else Disposition.AWAIT_OWNER
     if progress.consumed != record.consumed:
-        # Guards against handing on the rest of a request whose beginning went with the worker.
+        # The beginning of a request was read by the lost worker; nobody can handle the rest alone.
         return Disposition.REFUSE
     return Disposition.REASSIGN
--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -1,8 +1,8 @@
-"""A worker: an ingress's whole program on one core, which decides for its part of the trade accounts.
+"""A worker: the whole ingress program on one core, which decides for its part of the accounts.
 
-The guardian deals it clients' connections. Each request that it reads goes to the worker that owns its
-account, often itself; the answer comes back the same way. What it is about to do it first writes on the
-board, so that its end, at any instant, leaves nothing unknown that a rule depends on.
+The supervisor assigns clients' connections to it. Each request that it reads goes to the worker that owns the
+request's account, often itself; the answer comes back the same way. A worker writes every step to the shared
+table before it takes it, so that the supervisor can settle its connections whenever it is lost.
 """
 
 from __future__ import annotations
@@ -40,23 +40,26 @@
 from opalgauge.wire.exchange import Exchange
 from opalgauge.wire.node_list import NodeListReader
 
-HEARTBEAT_INTERVAL = 0.02  # s between beats
-LOAD_REPORT_INTERVAL = 0.5  # s between words on what was taken in
-MAX_REPORTED_ACCOUNTS = 8  # accounts named in one
-MAX_COUNTED_ACCOUNTS = 4096  # accounts counted between two
-MAX_RECENT_ANSWERS = 256  # answers kept for a holder that may not have read them
-EXIT_FENCED = 3  # exit status of a life that found itself replaced
-COUNTER_CONNECTIONS = 16  # of an ingress, all its workers together
+HEARTBEAT_INTERVAL = 0.02  # s between heartbeats
+LOAD_REPORT_INTERVAL = 0.5  # s between load reports
+MAX_REPORTED_ACCOUNTS = 8  # accounts named in a load report
+MAX_COUNTED_ACCOUNTS = 4096  # accounts counted between two load reports
+MAX_RECENT_ANSWERS = 256  # answers kept per worker, in case it is lost before it has read them
+EXIT_FENCED = 3  # exit status of a generation that found itself fenced off
+COUNTER_CONNECTIONS = 16  # to the quota counter, of all workers of an ingress together
 
 
 def settle_time(stall_after: timedelta) -> timedelta:
-    """Nobody who still lives is further behind with a roster: the guardian would have replaced it."""
+    """The longest delay with which a live worker receives a membership: a slower one would be replaced."""
     return stall_after * 1.5 + timedelta(milliseconds=100)
 
 
 def worker_share(house: House, workers: int) -> House:
-    """A worker's part of what the ingress may hold. A client's connection takes two descriptors: the
-    guardian keeps one as well, to answer on it should the worker end."""
+    """A worker's share of the limits of the ingress.
+
+    A client's connection takes two descriptors: the supervisor keeps one as well, to answer on it if the
+    worker is lost.
+    """
     clients = max(16, house.most_clients // (2 * workers))
     return replace(
         house,
@@ -69,7 +72,7 @@
 
 
 class WorkerRequestHandler(RequestHandler):
-    """aiohttp's connection handler, which also counts what came in and tells when an answer has gone out."""
+    """aiohttp's connection handler that also counts received bytes and records written answers."""
 
     __slots__ = ("bytes_received", "worker", "slot", "request_recorded")
 
@@ -78,19 +81,21 @@
         self.bytes_received, self.worker, self.slot, self.request_recorded = 0, worker, -1, False
 
     def data_received(self, data: bytes) -> None:
+        """Counts the bytes that arrive."""
         self.bytes_received += len(data)
         super().data_received(data)
 
     async def finish_response(self, request: Any, resp: Any, start_time: float | None) -> Any:
+        """Records the answer in the shared table once it has been written."""
         result = await super().finish_response(request, resp, start_time)
-        # An order's own bytes were counted when it was taken; more may have come behind it since.
+        # The bytes of a request were recorded with it; bytes of the next one may have arrived since.
         self.worker.table.record_answer(self.slot, None if self.request_recorded else self.bytes_received)
         self.request_recorded = False
         return result
 
 
 class WorkerFront(Front):
-    """A front without a listener: its connections are dealt to it."""
+    """A front without a listener: the supervisor assigns its connections."""
 
     worker: Worker
 
@@ -99,7 +104,7 @@
 
 
 class Worker:
-    """One life of a worker."""
+    """One generation of a worker."""
 
     def __init__(
         self, start: messages.Start, config: Config, channel_sock: socket.socket, table: SharedTable
@@ -113,7 +118,7 @@
         self.draining = self.supervisor_lost = self.drained = False
         log = make_log(start.log_form, ingress=config.name, worker=self.number)
         self.log = log if start.log_form != "plain" else (lambda text: log(f"worker {self.number}: {text}"))
-        seed = config.house.seed + self.number * 7919 + self.generation  # no two lives draw alike
+        seed = config.house.seed + self.number * 7919 + self.generation  # each generation draws other numbers
         house = worker_share(replace(config.house, seed=seed), start.workers)
         self.plans = house.settings.plans
         self.max_units = house.settings.most_units
@@ -128,20 +133,22 @@
             effects.RecallOrder: self._cancel_forwarded,
         }
         self.clients = Clients(config.trade, self._on_event, lambda: not self.draining, WorkerFront)
-        self.exchange.flows = self.clients.long = False  # a long body would have to pass between workers
+        # Long bodies are not streamed: they would have to pass between workers.
+        self.exchange.flows = self.clients.long = False
         self.clients.server.worker = self  # type: ignore[attr-defined]
         self.clients.over = self._on_request_over
         self.exchange.clients = self.clients
         self.links: dict[int, messages.WorkerLink] = {}
         self.client_sockets: dict[RequestHandler, socket.socket] = {}
-        self.sequences: dict[int, int] = {}  # by slot: requests that came over it
-        self.claimed_ids: dict[int, int] = {}  # by order held here: its id's place on the board
-        self.record_keys: dict[int, tuple[int, int]] = {}  # by order decided here: slot and tag
-        self.forwarded: dict[int, tuple[int, int, int]] = {}  # by order passed on: worker, slot and tag
-        # By order of another: its link, its number there.
+        self.sequences: dict[int, int] = {}  # by slot: sequence of the last request
+        self.claimed_ids: dict[int, int] = {}  # by request held here: the entry of its id in the table
+        self.record_keys: dict[int, tuple[int, int]] = {}  # by request decided here: slot and sequence
+        self.forwarded: dict[int, tuple[int, int, int]] = {}  # by request forwarded: worker, slot, sequence
+        # By request that another worker forwarded here: its link, and its number there.
         self.remote_requests: dict[int, tuple[messages.WorkerLink, int]] = {}
-        self.remote_numbers: dict[tuple[int, int, int], int] = {}  # and back: worker, life, number there
-        self.recent_answers: dict[int, deque[messages.OrphanAnswer]] = {}  # by worker: answers to its orders
+        self.remote_numbers: dict[tuple[int, int, int], int] = {}  # by worker, generation, number there
+        # By worker: the last answers sent to it.
+        self.recent_answers: dict[int, deque[messages.OrphanAnswer]] = {}
         self.remote_count = 0
         self.requests_taken, self.account_counts = 0, dict[tuple[int, int, int], int]()
         self.last_heartbeat = time.monotonic()
@@ -151,18 +158,20 @@
 
     # --- time ----------------------------------------------------------------------------------------------
     def now(self) -> datetime:
-        """The time of an event. Guards what is done about it against a life that was replaced."""
+        """The time of an event. Exits if this generation has been fenced off: it must not act any more."""
         if self.table.is_fenced(self.number, self.generation):
             os._exit(EXIT_FENCED)
         return self.clock.now()
 
     def heartbeat(self) -> None:
+        """Writes a heartbeat to the shared table, and schedules the next one."""
         self.now()
         self.last_heartbeat = time.monotonic()
         self.table.record_heartbeat(self.number)
         self.loop.call_later(HEARTBEAT_INTERVAL, self.heartbeat)
 
     def report_load(self) -> None:
+        """Reports the load of the last interval to the supervisor, and schedules the next report."""
         busiest = sorted(self.account_counts.items(), key=lambda kv: (-kv[1], kv[0]))[:MAX_REPORTED_ACCOUNTS]
         accounts = [
             (account, requests, self._max_parts(plan, spread))
@@ -173,13 +182,13 @@
         self.loop.call_later(LOAD_REPORT_INTERVAL, self.report_load)
 
     def _max_parts(self, plan: int, spread: int) -> int:
-        """So many cores can share an account that each part of its ceiling still holds two requests."""
+        """How many workers can share an account so that each part of its ceiling holds two requests."""
         limits = self.plans[plan]
         if not limits.ceiling_rate:
             return 1 << 16
         return max(1, int(limits.ceiling_burst / (2 * self.max_units * max(1, spread))))
 
-    # --- what the clients ask ------------------------------------------------------------------------------
+    # --- requests of clients -------------------------------------------------------------------------------
     def _on_event(self, event: events.Event) -> None:
         if type(event) is not events.OrderTaken:
             self.exchange.report(event)
@@ -194,7 +203,7 @@
         sequence = self.sequences[slot] = self.sequences[slot] + 1
         owner = self.ownership.worker_for(event.account)
         if owner != self.number and owner not in self.links:
-            # Guards an order against an owner that has just gone; its part here is small.
+            # The owner has just gone: decide here, with the small part that a new owner starts with.
             owner = self.number
         self.requests_taken += 1
         if len(self.account_counts) < MAX_COUNTED_ACCOUNTS:
@@ -222,7 +231,7 @@
         event.parts = self.ownership.parts(event.account, now)
 
     def _on_request_over(self, request: int) -> None:
-        """No client waits for it: it was answered, or its client left."""
+        """No client waits for the request any more: it was answered, or its client left."""
         self.record_keys.pop(request, None)
         self.forwarded.pop(request, None)
         if (entry := self.claimed_ids.pop(request, None)) is not None:
@@ -233,7 +242,7 @@
             self.table.record_attempt(*record_key)
         self.exchange.send(effect)
 
-    # --- orders between workers ----------------------------------------------------------------------------
+    # --- requests between workers --------------------------------------------------------------------------
     def _forward(self, effect: effects.PassOrder) -> None:
         taken, content = effect.taken, effect.taken.errand
         forwarded = self.forwarded.get(taken.order)
@@ -272,7 +281,7 @@
 
     def _on_forwarded_request(self, link: messages.WorkerLink, message: messages.ForwardRequest) -> None:
         self.remote_count += 1
-        number = -self.remote_count  # a client and an order of its own, never one of this worker's
+        number = -self.remote_count  # negative: never the number of a client or request of this worker
         time_left = timedelta(microseconds=(message.deadline_ns - time.monotonic_ns()) // 1000)
         self.remote_requests[number] = link, message.request
         self.remote_numbers[link.worker, link.generation, message.request] = number
@@ -296,7 +305,7 @@
 
     def _answer(self, effect: effects.AnswerClient) -> None:
         if effect.order >= 0:
-            self.clients.answer(effect)  # never one that is passed on while it comes
+            self.clients.answer(effect)  # always a complete answer: long bodies are not streamed
             return
         slot, sequence = self.record_keys.get(effect.order, (-1, 0))
         remote = self._remove_remote(effect.order)
@@ -317,8 +326,8 @@
         self.exchange.report(events.ClientLeft(effect.order))
 
     def _on_link_lost(self, link: messages.WorkerLink) -> None:
-        """Another worker is no more. What it decided for us is settled here; what we decide for it goes to
-        the guardian, which has its clients' connections."""
+        """Another worker is lost. What it decided for this one is settled here; what this one decides for it
+        goes to the supervisor, which has its clients' connections."""
         if self.links.get(link.worker) is link:
             del self.links[link.worker]
         forwarded = {
@@ -342,7 +351,7 @@
             self.channel.send(answer)
         self.channel.send(messages.OrphansHeld(link.worker, link.generation, held))
 
-    # --- what the guardian says ----------------------------------------------------------------------------
+    # --- messages of the supervisor ------------------------------------------------------------------------
     def _on_message(self, message: Any, fd: int | None) -> None:
         if isinstance(message, messages.AssignConnection) and fd is not None:
             self.loop.create_task(self._take_connection(message, socket.socket(fileno=fd)))
@@ -369,13 +378,13 @@
         self.drained = True
         self.channel.send(messages.ReportDrained())
         if self.supervisor_lost:
-            # Others may still pass an order on for as long as their connections take to close.
+            # The other workers may still forward requests until their connections are closed.
             self.loop.call_later(0.2, self.finished.set)
 
     def _on_supervisor_lost(self) -> None:
-        # Guards against a worker that serves on when nobody watches it any more.
+        # A worker must not go on serving without a supervisor.
         if time.monotonic() - self.last_heartbeat > self.stall_after.total_seconds():
-            os._exit(EXIT_FENCED)  # it had stalled: what it holds is long overdue
+            os._exit(EXIT_FENCED)  # it had stalled: its requests are overdue
         self.supervisor_lost = True
         self.log("drain: the guardian is gone; answering what is held, then leaving")
         self._drain()
@@ -420,8 +429,9 @@
             self.links[message.worker] = link
             self.recent_answers.pop(message.worker, None)
 
-    # --- a life --------------------------------------------------------------------------------------------
+    # --- life cycle ----------------------------------------------------------------------------------------
     async def run(self) -> None:
+        """Serves until the supervisor asks it to leave, or has ended and nothing is owed any more."""
         front_on_closed = self.clients._went
 
         def on_closed(handler: RequestHandler) -> None:
@@ -443,6 +453,7 @@
 
 
 def read_settings(fd: int) -> dict[str, Any]:
+    """Reads the settings from a descriptor that came with a message, and closes it."""
     with os.fdopen(fd, "rb") as file:
         file.seek(0)
         settings: dict[str, Any] = json.load(file)
@@ -450,13 +461,13 @@
 
 
 async def start_worker(sock: socket.socket, table_fd: int, workers: int) -> None:
-    """Waits for the guardian's first word, then lives by it."""
+    """Waits for the supervisor's `Start` message, then runs the worker."""
     loop = asyncio.get_running_loop()
     first: asyncio.Future[tuple[messages.Start, int]] = loop.create_future()
 
     def on_message(message: Any, fd: int | None) -> None:
         if isinstance(message, messages.Start) and fd is not None:
-            channel.closed = True  # its descriptor goes on in the life's own channel
+            channel.closed = True  # the socket is passed on to the worker's own channel
             loop.remove_reader(sock.fileno())
             first.set_result((message, fd))
 
@@ -468,8 +479,11 @@
 
 
 def main() -> None:
-    """`python -m opalgauge.cores CHANNEL BOARD SEATS seat=N`: descriptors, how many workers there
-    are, and which this is, for people who look at processes."""
+    """Runs `python -m opalgauge.cores CHANNEL_FD TABLE_FD WORKERS seat=N`.
+
+    The arguments are two descriptors and the number of workers. `seat=N` shows in process listings which
+    worker this is; it is not read.
+    """
     channel_fd, table_fd, workers = (int(argument) for argument in sys.argv[1:4])
     gc.freeze()
     uvloop.run(start_worker(socket.socket(fileno=channel_fd), table_fd, workers))
