--- a/tests/cores_harness.py
+++ b/tests/cores_harness.py
@@ -1,4 +1,4 @@
-"""An ingress of several workers on loopback, between the stand-ins of `tests/harness.py`."""
+"""Runs an ingress of several workers on loopback, between the stand-ins of `tests/harness.py`."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def account_owned_by(worker: int, workers: int = WORKERS, salt: int = 0) -> int:
-    """An account that a seat decides for while all serve."""
+    """An account that a worker owns while all workers serve. `salt` selects another one."""
     membership = Membership(1, tuple(range(workers)))
     return next(
         account for account in range(1 + 1000 * salt, 10**6) if owners(account, membership) == (worker,)
@@ -50,6 +50,7 @@
     units: int = 1,
     extra_headers: str = "",
 ) -> bytes:
+    """The bytes of a request; `time_left` in s, `extra_headers` with their line ends."""
     method = "GET" if request_class == "stock-check" else "POST"
     return (
         f"{method} /{request_class} HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {correlation}\r\n"
@@ -60,29 +61,32 @@
 
 
 class Client:
-    """A connection of a client's own."""
+    """A client and its connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     def send(self, data: bytes) -> None:
+        """Sends bytes without waiting for an answer."""
         self.writer.write(data)
 
     async def answer(self, limit: float = 15.0) -> bytes:
+        """Reads the next answer, within `limit` s."""
         return await asyncio.wait_for(harness.read_request(self.reader), limit)
 
     async def ask(self, data: bytes) -> int:
+        """Sends a request and returns the status of its answer."""
         self.send(data)
         return int((await self.answer()).split(b" ")[1])
 
     async def ends(self) -> bytes:
-        """What still comes until the connection's end."""
+        """Reads the bytes that still arrive until the connection ends."""
         return await asyncio.wait_for(self.reader.read(), 5)
 
 
 @dataclass
 class IngressProcess:
-    """`pids()` are the workers' processes by seat."""
+    """A running ingress: its supervisor process, settings file and log lines."""
 
     port: int
     process: asyncio.subprocess.Process
@@ -91,9 +95,11 @@
     lines: list[str] = field(default_factory=list)
 
     async def client(self) -> Client:
+        """Connects a client."""
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     def pids(self) -> dict[int, int]:
+        """The process ids of the workers, by worker number."""
         pid = self.process.pid
         found: dict[int, int] = {}
         children = Path(f"/proc/{pid}/task/{pid}/children")
@@ -108,16 +114,19 @@
         return found
 
     def signal(self, worker: int, signal_number: int) -> int:
+        """Sends a signal to a worker and returns its process id."""
         pid = self.pids()[worker]
         os.kill(pid, signal_number)
         return pid
 
     async def wait_for_log(self, text: str, times: int = 1) -> None:
+        """Waits, for 30 s at most, until so many log lines contain the text."""
         async with asyncio.timeout(30):
             while sum(text in line for line in self.lines) < times:
                 await asyncio.sleep(0.01)
 
     async def wait_until(self, condition_name: str, condition: object) -> None:
+        """Waits, for 30 s at most, until the condition holds."""
         assert callable(condition)
         async with asyncio.timeout(30):
             while not condition():
@@ -128,6 +137,7 @@
 async def running_ingress(
     server: str, counter: str, workers: int = WORKERS, extra_settings: str = ""
 ) -> AsyncIterator[IngressProcess]:
+    """Starts an ingress, and kills its processes at the end. Its server and counter are addresses."""
     with tempfile.TemporaryDirectory() as folder:
         path, port = Path(folder) / "a.conf", harness.free_port()
         settings = (
--- a/tests/test_cores_kill.py
+++ b/tests/test_cores_kill.py
@@ -1,4 +1,4 @@
-"""An ingress of several workers, asked to stop and killed at the earliest: all that was read is answered."""
+"""A drain of several workers answers every request before the earliest possible SIGKILL."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests import harness
 from tests.cores_harness import account_owned_by, request_bytes, running_ingress
 
-KILL_AFTER = 3.7  # s: its longest deadline is 30 s, and counts as 3 s
+KILL_AFTER = 3.7  # s after SIGTERM; the longest deadline is 30 s, of which a drain allows for 3 s
 
 
 @pytest.mark.parametrize("worker_lost", [False, True])
@@ -23,7 +23,7 @@
             harness.party(harness.counter()) as (counter_address, _),
             running_ingress(server_address, counter_address, 2) as ingress,
         ):
-            # At either worker, decided by either.
+            # Requests held by either worker, and decided by either.
             clients = [await ingress.client() for _ in range(8)]
             for n, client in enumerate(clients[:4]):
                 client.send(request_bytes("place-order", account_owned_by(n % 2, 2, n), f"early-{n}"))
@@ -48,7 +48,7 @@
             for correlation, answer in zip(correlations, answers, strict=True):
                 status = int((await answer)[9:12])
                 attempted = any(f"Id: {correlation}\r".encode() in request for request in server.requests)
-                # What may have run is not called refused.
+                # A request that a server may have executed must not be answered as refused.
                 assert status in (502, 504) if attempted else status in (429, 502, 503, 504), (
                     correlation,
                     status,
--- a/tests/test_cores_pure.py
+++ b/tests/test_cores_pure.py
@@ -1,4 +1,4 @@
-"""What the cores package decides, without a process: lives, owners, parts, connections left behind."""
+"""The pure parts of the cores package: ownership, worker life cycles, takeover and the shared table."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 RATE, BURST, SLACK, SPREAD = 6.0, 24.0, 1.0, 2
 
 
-# --- who decides -------------------------------------------------------------------------------------------
+# --- account ownership -------------------------------------------------------------------------------------
 def test_only_accounts_of_a_worker_that_joins_or_leaves_move() -> None:
     four, three = Membership(1, (0, 1, 2, 3)), Membership(2, (0, 1, 3))
     moved = [a for a in range(8000) if owners(a, four) != owners(a, three)]
@@ -63,9 +63,9 @@
 
 
 class CeilingMachine(RuleBasedStateMachine):
-    """Workers hear of rosters late, but within the settle time; each spends all that the decisions let it.
+    """Workers receive memberships late, but within the settle time; each spends all that the gateway allows.
 
-    Whatever comes, an account's units sent on by this ingress stay within its part of the ceiling.
+    Whatever happens, the units that this ingress spends of an account stay within its part of the ceiling.
     """
 
     def __init__(self) -> None:
@@ -148,7 +148,7 @@
             if any(
                 v > last and self.now - at > SETTLE_TIME - 100 * MS for v, at in self.published_at.items()
             ):
-                self.receive(number)  # who lags for longer is replaced
+                self.receive(number)  # a worker that lags for longer is replaced
 
     @rule(informed=st.booleans())
     def owner_dies_when_all_is_spent(self, informed: bool) -> None:
@@ -182,7 +182,7 @@
 
     @invariant()
     def total_spending_stays_within_the_ingress_share(self) -> None:
-        # The rule's own store: full at the start, and a new life adds no slack of its own.
+        # A token bucket for the whole ingress: full at the start; a new generation adds no slack of its own.
         room, at = BURST / SPREAD, START
         for when, units in self.spent:
             room = min(BURST / SPREAD, room + RATE / SPREAD * (when - at).total_seconds()) - units
@@ -196,19 +196,19 @@
 )
 
 
-# --- who lives ---------------------------------------------------------------------------------------------
+# --- worker life cycle -------------------------------------------------------------------------------------
 class WorkerLifecycleMachine(RuleBasedStateMachine):
-    """Processes that start, stall, wake, crash and are killed, round the guardian's decisions."""
+    """Worker processes start, stall, wake, crash and are killed, as the state machine decides."""
 
     def __init__(self) -> None:
         super().__init__()
         self.machine = state_machine.StateMachine(state_machine.SupervisorSettings(3))
         self.now = START
-        self.running: dict[int, int] = {}  # seat: life
+        self.running: dict[int, int] = {}  # generation by worker
         self.killed: set[tuple[int, int]] = set()
         self.stalled_since: dict[int, datetime] = {}
         self.members: tuple[int, ...] = ()
-        self.held_requests: dict[int, tuple[int, int]] = {}  # order: who holds it
+        self.held_requests: dict[int, tuple[int, int]] = {}  # by request: the worker generation that holds it
         self.settled: set[int] = set()
         self.request_count = 0
         self.accepting_started = self.leaving = False
@@ -218,7 +218,7 @@
     def perform(self, effects: list[state_machine.Effect]) -> None:
         for e in effects:
             if isinstance(e, state_machine.SpawnWorker):
-                assert e.worker not in self.running, "two lives of one seat"
+                assert e.worker not in self.running, "two generations of one worker"
                 self.running[e.worker] = e.generation
             elif isinstance(e, state_machine.KillWorker):
                 assert self.running.get(e.worker) == e.generation
@@ -360,7 +360,7 @@
     assert state_machine.Exit(2) in machine.step(state_machine.WorkerExited(1, 1, "exit 1"), START)
 
 
-# --- what is left behind -----------------------------------------------------------------------------------
+# --- takeover of connections -------------------------------------------------------------------------------
 def test_every_state_of_a_lost_connection_has_its_disposition() -> None:
     for is_open, owner_lives, repeatable, attempted, wrote, read, established in product(
         *[(False, True)] * 7
@@ -374,7 +374,7 @@
             expected = Disposition.CLOSE
         elif not is_open:
             expected = Disposition.REFUSE if read else Disposition.REASSIGN
-        elif wrote:  # it has its answer
+        elif wrote:  # answered
             expected = Disposition.CLOSE if read else Disposition.AWAIT_NEXT_REQUEST
         elif owner_lives:
             expected = Disposition.AWAIT_OWNER
@@ -382,7 +382,7 @@
             expected = Disposition.FAIL if attempted and not repeatable else Disposition.REFUSE
         assert disposition is expected, (record, progress)
         if disposition is Disposition.REFUSE and is_open:
-            assert repeatable or not attempted  # a refusal says that a repeat does no harm
+            assert repeatable or not attempted  # a refusal tells the client that a repeat does no harm
 
 
 def test_connection_that_may_hold_part_of_another_request_is_never_reassigned() -> None:
@@ -406,7 +406,7 @@
     table.record_request(1, 6, 0, False, 10, 0, 0)
     assert table.connection_record(1).attempted != 6
     table.record_attempt(1, 6)
-    table.record_attempt(1, 5)  # comes late
+    table.record_attempt(1, 5)  # a late write
     assert table.connection_record(1).attempted == 6 and table.connection_record(1).open
     table.record_answer(1, 99)
     assert not table.connection_record(1).open and table.connection_record(1).consumed == 99
@@ -419,7 +419,7 @@
     held: dict[int, tuple[int, int]] = {}
     for worker, number, claims in steps:
         if claims and number in held and held[number][0] == worker:
-            continue  # a seat knows its own open ids
+            continue  # a worker knows its own open ids
         if claims:
             entry = table.claim_id(worker, id_hash(f"id-{number}"))
             assert (entry is None) == (number in held)
--- a/tests/test_cores_scenes.py
+++ b/tests/test_cores_scenes.py
@@ -1,4 +1,4 @@
-"""One ingress on several cores, with workers that stall, die and come back under live connections."""
+"""One ingress on several cores, whose workers stall, die and restart under live connections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StandInServer:
-    """A stock node that answers at once, or when it is let go."""
+    """A stand-in server that answers at once, or slow requests when they are released."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
@@ -51,7 +51,7 @@
             await asyncio.sleep(0.01)
 
 
-# The first client's connection is dealt to seat 0, the second's to seat 1.
+# The first client's connection is assigned to worker 0, the second's to worker 1.
 LOSSES = {
     "the owner stalls": (1, 1, STOP),
     "the owner dies": (1, 1, KILL),
@@ -69,7 +69,7 @@
     async def scene(ingress: IngressProcess, seen: harness.Seen, _: StandInServer) -> None:
         account = account_owned_by(owner)
         client, others = await ingress.client(), [await ingress.client(), await ingress.client()]
-        second = await ingress.client()  # seat 0 again
+        second = await ingress.client()  # worker 0 again
         client.send(request_bytes("place-order", account, "slow-place"))
         second.send(request_bytes("stock-check", account, "slow-check"))
         await wait_for_requests(seen, 2)
@@ -77,11 +77,11 @@
         place, check = await client.answer(), await second.answer()
         assert place.startswith(b"HTTP/1.1 502")
         assert check.split(b" ")[1] in (b"429", b"503") and b"retry-after" in check.lower()
-        # What wakes now was replaced: it sends nothing, and nobody sent anything for it.
+        # The lost process is gone, so it cannot wake and act; nobody repeated its requests.
         await ingress.wait_for_log(f"worker {lost}: ended")
         with pytest.raises(ProcessLookupError):
             os.kill(pid, signal.SIGCONT)
-        await ingress.wait_until("a new life", lambda: ingress.pids().get(lost) not in (None, pid))
+        await ingress.wait_until("a new process", lambda: ingress.pids().get(lost) not in (None, pid))
         assert sorted(r.split(b"X-Correlation-Id: ")[1].split(b"\r\n")[0] for r in seen.requests) == [
             b"slow-check", b"slow-place",
         ]  # fmt: skip
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("signal_number", [STOP, KILL])
 def test_request_of_a_lost_holder_still_gets_its_owners_answer(signal_number: int) -> None:
     async def scene(ingress: IngressProcess, seen: harness.Seen, server: StandInServer) -> None:
-        client = await ingress.client()  # held by seat 0
+        client = await ingress.client()  # held by worker 0
         client.send(request_bytes("place-order", account_owned_by(1), "slow"))
         await wait_for_requests(seen, 1)
         ingress.signal(0, signal_number)
@@ -138,7 +138,7 @@
 
 
 def test_request_without_an_attempt_is_refused_when_its_worker_stalls() -> None:
-    # Its counter is silent, so that the order is still being decided about.
+    # The counter does not answer, so no attempt is made yet.
     async def run() -> None:
         async with (
             harness.party(harness.silent) as (server_address, seen),
@@ -185,7 +185,7 @@
             ingress.process.send_signal(signal.SIGHUP)
             await ingress.wait_for_log("in force: stock-node")
             await ingress.wait_for_log("worker 1: ended")
-            await ingress.wait_until("a new life", lambda: 1 in ingress.pids())
+            await ingress.wait_until("a new process", lambda: 1 in ingress.pids())
             await asyncio.sleep(0.5)
             for worker in range(3):
                 client = await ingress.client()
@@ -230,10 +230,10 @@
     async def scene(ingress: IngressProcess, _: harness.Seen, __: StandInServer) -> None:
         client = await ingress.client()
         for _n in range(4):
-            await ingress.wait_until("a life", lambda: 1 in ingress.pids())
+            await ingress.wait_until("a process", lambda: 1 in ingress.pids())
             ingress.signal(1, KILL)
-            await ingress.wait_until("its end", lambda: 1 not in ingress.pids())
-            # Refused where it had just been handed to the worker that ended.
+            await ingress.wait_until("its exit", lambda: 1 not in ingress.pids())
+            # 429 if the request had just been forwarded to the worker that exited.
             assert await client.ask(request_bytes("place-order", account_owned_by(1), f"n{_n}")) in (200, 429)
         await ingress.wait_for_log("worker 1: keeps ending (signal 9)")
         await ingress.wait_for_log("worker 1: serves again")
@@ -253,8 +253,8 @@
             os.kill(pids[2], STOP)
             await asyncio.sleep(0.05)
         ingress.process.kill()
-        # `wait` would also wait for the workers to close the log.
-        await ingress.wait_until("its end", lambda: ingress.process.returncode is not None)
+        # `process.wait()` would also wait until the workers close the log.
+        await ingress.wait_until("its exit", lambda: ingress.process.returncode is not None)
         server.release.set()
         assert (await client.answer()).startswith(b"HTTP/1.1 200")
         if stalled:
@@ -302,11 +302,12 @@
                     )
                     assert status in (200, 429, 503)
             spent = 3 * len(seen.requests)
-            # The ceiling, its slack and what its rate gives meanwhile: what totals let in needs no part.
+            # The whole account's ceiling: burst, slack and refill. What the counter's totals admit is not taken
+            # from the ingress's part of it.
             assert spent <= 60 + 4 + 30 * (loop.time() - began) + 1e-6
             assert spent >= 15
             await asyncio.sleep(0.3)
-            # Refunds on their way at the kill went with the worker: the count may be above, never below.
+            # Refunds that were in flight at the kill are lost: the count may be too high, never too low.
             assert spent <= totals["all"] <= spent + 3 * 3
 
     asyncio.run(run())
--- a/tests/test_cores_supervisor.py
+++ b/tests/test_cores_supervisor.py
@@ -1,4 +1,4 @@
-"""The guardian's side of a lost worker's connections, on real sockets and without any worker."""
+"""The supervisor settles the connections of a lost worker: on real sockets, without worker processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RecordingSupervisor(Supervisor):
-    """A guardian that notes what it would deal on."""
+    """A supervisor that records which connections it would reassign."""
 
     reassigned: list[tuple[int, int]]
 
@@ -28,7 +28,7 @@
 
 
 def run_scene(scene: Callable[[RecordingSupervisor, socket.socket, socket.socket], Awaitable[None]]) -> None:
-    """One connection in place 3, held by the first life of seat 0, which has ended."""
+    """Runs a scene with one connection in slot 3, held by generation 1 of worker 0, which has ended."""
 
     async def run() -> None:
         settings = as_told(parse(GOOD + "workers 2"))
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("asks", ["before", "after", "never"])
 def test_answered_client_that_asks_again_is_reassigned_and_never_answered_twice(asks: str) -> None:
-    # The worker ended after it had written its answer and before it could say so.
+    # The worker ended after it had written the answer and before it could record that.
     async def scene(supervisor: RecordingSupervisor, client: socket.socket, ours: socket.socket) -> None:
         await deliver(ours, REQUEST, client)
         ours.recv(65536)
@@ -123,7 +123,7 @@
     async def scene(supervisor: RecordingSupervisor, client: socket.socket, ours: socket.socket) -> None:
         await deliver(ours, REQUEST, client)
         ours.recv(65536)
-        supervisor.table.reset_connection(3, len(REQUEST))  # an earlier life had read and answered it
+        supervisor.table.reset_connection(3, len(REQUEST))  # an earlier generation had read and answered it
         supervisor._take_over_connection(3, supervisor.clients[3], frozenset({0}))
         assert supervisor.reassigned == [(3, len(REQUEST))]
 
