--- a/opalgauge/cores/state_machine.py
+++ b/opalgauge/cores/state_machine.py
@@ -51,7 +51,7 @@
     generation: int = 0
     stage_since: datetime | None = None  # start of the current stage
     heartbeat: datetime | None = None
-    pause: timedelta = timedelta(0)
+    restart_pause: timedelta = timedelta(0)
     restart_at: datetime | None = None
     exits: int = 0  # consecutive, without a stable generation between them
     drained: bool = False  # owes no answers any more
@@ -208,7 +208,7 @@
 
     def __init__(self, settings: SupervisorSettings) -> None:
         self.settings = settings
-        self.workers = [WorkerState(n) for n in range(settings.workers)]
+        self.workers = [WorkerState(number) for number in range(settings.workers)]
         self.balancer = AccountBalancer(settings.workers)
         self.membership = Membership(0, ())
         self.last_tick: datetime | None = None
@@ -315,12 +315,14 @@
             return
         worker.exits = 1 if was_stable else worker.exits + 1
         first_pause = self.settings.restart_pause
-        worker.pause = (
-            first_pause if worker.exits <= 1 else min(2 * worker.pause, self.settings.restart_pause_max)
+        worker.restart_pause = (
+            first_pause
+            if worker.exits <= 1
+            else min(2 * worker.restart_pause, self.settings.restart_pause_max)
         )
-        worker.restart_at = now + worker.pause
+        worker.restart_at = now + worker.restart_pause
         if worker.exits < CRASH_LOOP_EXITS:
-            pause = worker.pause.total_seconds()
+            pause = worker.restart_pause.total_seconds()
             self.effects.append(
                 LogLine(f"worker {worker.number}: ended ({event.reason}); started again in {pause:.2f} s")
             )
--- a/opalgauge/cores/supervisor.py
+++ b/opalgauge/cores/supervisor.py
@@ -111,7 +111,7 @@
             state_machine.BroadcastDrain: lambda _: self._broadcast(messages.Drain()),
             state_machine.BroadcastLeave: lambda _: self._broadcast(messages.Leave()),
             state_machine.Exit: self._exit,
-            state_machine.LogLine: lambda e: self.log(e.text),
+            state_machine.LogLine: lambda effect: self.log(effect.text),
         }
 
     def _supervisor_settings(self, reading: Reading) -> state_machine.SupervisorSettings:
@@ -134,21 +134,21 @@
         Raises OSError if the address is not available.
         """
         self.listener = bind(*self.config.listen)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self._drain)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, self._drain)
         self.loop.add_signal_handler(signal.SIGHUP, self._reload)
         self._perform(self.machine.start(self.clock.now()))
         self._tick()
         self._report_loads()
-        code = await self.exit_status
+        status = await self.exit_status
         if self.tasks:
             await asyncio.wait(set(self.tasks), timeout=2)
-        return code
+        return status
 
     def _tick(self) -> None:
-        mono, now = time.monotonic_ns(), self.clock.now()
+        now_ns, now = time.monotonic_ns(), self.clock.now()
         heartbeats = {
-            worker: now - timedelta(microseconds=(mono - heartbeat) // 1000)
+            worker: now - timedelta(microseconds=(now_ns - heartbeat) // 1000)
             for worker, heartbeat in enumerate(self.table.heartbeats())
             if heartbeat
         }
@@ -199,26 +199,26 @@
 
     # --- workers -------------------------------------------------------------------------------------------
     def _spawn(self, effect: state_machine.SpawnWorker) -> None:
-        ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        channel = messages.Channel(ours, messages.ToSupervisor, lambda m, _: None, lambda: None)
+        own_end, worker_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        channel = messages.Channel(own_end, messages.ToSupervisor, lambda message, _: None, lambda: None)
         worker = WorkerProcess(effect.worker, effect.generation, channel)
         channel.on_message = lambda message, _: self._on_message(worker, message)
         self.workers[effect.worker] = worker
-        task = self.loop.create_task(self._run(worker, theirs))
+        task = self.loop.create_task(self._run(worker, worker_end))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _run(self, worker: WorkerProcess, theirs: socket.socket) -> None:
+    async def _run(self, worker: WorkerProcess, worker_end: socket.socket) -> None:
         reason = "could not be started"
         try:
-            fds = theirs.fileno(), self.table.fd
+            fds = worker_end.fileno(), self.table.fd
             os.set_inheritable(fds[0], True)
             worker.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "opalgauge.cores", *map(str, fds), str(self.table.workers),
                 f"seat={worker.number}",
                 pass_fds=fds, stdin=asyncio.subprocess.DEVNULL,
             )  # fmt: skip
-            theirs.close()
+            worker_end.close()
             start = messages.Start(
                 worker.number, worker.generation, self.table.workers, self.slots,
                 self.reading.stall_after // timedelta(microseconds=1) * 1000, dict(self.reading.environ),
@@ -227,10 +227,10 @@
             self._send_with_settings(worker, start)
             status = await worker.process.wait()
             reason = f"signal {-status}" if status < 0 else f"exit {status}"
-        except OSError as bad:
-            reason = str(bad)
+        except OSError as error:
+            reason = str(error)
         finally:
-            theirs.close()
+            worker_end.close()
         worker.channel.read_remaining()
         worker.channel.close()
         worker.exited = True
@@ -319,9 +319,9 @@
         assert self.listener is not None
         try:
             self.listener.listen(BACKLOG)
-        except OSError as bad:
+        except OSError as error:
             # Another program may have taken the address while the workers came up.
-            self.log(f"cannot start: {bad}")
+            self.log(f"cannot start: {error}")
             self._exit(state_machine.Exit(2))
             return
         self.acceptor = Acceptor(self.listener, self._accepted)
