--- a/opalgauge/cores/ownership.py
+++ b/opalgauge/cores/ownership.py
@@ -106,7 +106,7 @@
         self.round_robin += 1
         return account_owners[self.round_robin % len(account_owners)]
 
-    def parts(self, account: int, now: datetime) -> int:
+    def split_count(self, account: int, now: datetime) -> int:
         """The largest number of parts into which any worker may still split the account."""
         largest = 1
         if not self.recently_split:
--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -228,7 +228,7 @@
         now = self.clock.now()
         exclusive_for = self.ownership.exclusive_for(event.account, now)
         event.held = math.inf if exclusive_for is None else exclusive_for.total_seconds()
-        event.parts = self.ownership.parts(event.account, now)
+        event.parts = self.ownership.split_count(event.account, now)
 
     def _on_request_over(self, request: int) -> None:
         """No client waits for the request any more: it was answered, or its client left."""
