--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -121,8 +121,8 @@
         seed = config.house.seed + self.number * 7919 + self.generation  # each generation draws other numbers
         house = worker_share(replace(config.house, seed=seed), start.workers)
         self.plans = house.settings.plans
-        self.max_units = house.settings.most_units
-        self.repeatable = [request_class.effect.value == "safe" for request_class in house.settings.classes]
+        self.max_units = house.settings.max_units
+        self.repeatable = [request_class.idempotency.value == "safe" for request_class in house.settings.classes]
         self.exchange = Exchange(
             Reducer(house), self.now, NodeListReader(config.zones), self.log, self._on_drained
         )
--- a/opalgauge/lab/bench_request.py
+++ b/opalgauge/lab/bench_request.py
@@ -41,14 +41,14 @@
 SETTINGS = i.Settings(
     classes=(
         i.RequestClass(0.4, 1.2, 2.0),
-        i.RequestClass(0.8, 3.0, 5.0, effect=i.Effect.UNSAFE),
+        i.RequestClass(0.8, 3.0, 5.0, idempotency=i.Idempotency.UNSAFE),
     ),
     plans=(i.Plan(rate=1e5, burst=1e6),),
-    most_units=4.0,
-    counter=True,
+    max_units=4.0,
+    use_counter=True,
     counter_timeout=0.08,
     max_attempts=4,
-    cancel=True,
+    allow_cancel=True,
 )
 SERVERS = tuple(ev.StockNode(f"127.0.0.1:{7000 + n}", i.ServerEntry(n, i.Health.READY)) for n in range(1, 5))
 COUNTER_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5"
@@ -191,7 +191,7 @@
         self.now, self.number, self.total = 1e6, 0, 0.0
         self.gateway = Gateway(SETTINGS, 5)
         self.gateway.handle(
-            self.now, [i.ServerList(i.ListKind.WHOLE, tuple(server.entry for server in SERVERS))]
+            self.now, [i.ServerList(i.ListKind.COMPLETE, tuple(server.entry for server in SERVERS))]
         )
 
     def run(self, count: int) -> None:
@@ -205,7 +205,7 @@
                 for action in actions:
                     if isinstance(action, i.Count):
                         self.total += action.amount
-                        events_in.append(i.Counted(action.name, 0.001, i.End.OK, self.total))
+                        events_in.append(i.CountOutcome(action.name, 0.001, i.End.OK, self.total))
                     elif isinstance(action, i.Send):
                         events_in.append(i.Outcome(self.number, 0, action.server, i.End.OK, 0.005, True))
 
--- a/opalgauge/lab/zone_simulation.py
+++ b/opalgauge/lab/zone_simulation.py
@@ -90,14 +90,15 @@
         settings = i.Settings(
             classes=(
                 i.RequestClass(AIM, DEADLINE, 1.0),
-                i.RequestClass(AIM, DEADLINE, 2.0, effect=i.Effect.UNSAFE),
+                i.RequestClass(AIM, DEADLINE, 2.0, idempotency=i.Idempotency.UNSAFE),
             ),
-            plans=(i.Plan(),), gateways=self.scenario.ingresses, me=ingress,
-            zone=ingress % self.scenario.zones, max_attempts=4, cancel=True, probes=True,
-            cold=self.scenario.warm_up, cold_from=0.21, fall=3.0, fall_multiple=4.0,
+            plans=(i.Plan(),), gateways=self.scenario.ingresses, gateway_index=ingress,
+            zone=ingress % self.scenario.zones, max_attempts=4, allow_cancel=True, allow_probes=True,
+            slow_start_duration=self.scenario.warm_up, slow_start_share=0.21,
+            collapse_time=3.0, collapse_ratio=4.0,
         )  # fmt: skip
         gateway = Gateway(settings, self.scenario.seed * 1000 + ingress + generation * 77)
-        gateway.handle(self.now, [i.ServerList(i.ListKind.WHOLE, self.entries)])
+        gateway.handle(self.now, [i.ServerList(i.ListKind.COMPLETE, self.entries)])
         return gateway
 
     def _make_watch(self, ingress: int) -> Watch:
@@ -235,9 +236,9 @@
             when, end = self.now + CONNECT_FAILURE_TIME, i.End.CONNECT_FAILED
         else:
             done = self.models[action.server - 1].arrive(self.now, str(action.request))
-            when, end = (done, i.End.OK) if done is not None else (self.now + 0.001, i.End.FULL)
-            if when > action.stop_at:
-                when, end = action.stop_at, i.End.TIMEOUT
+            when, end = (done, i.End.OK) if done is not None else (self.now + 0.001, i.End.REJECTED)
+            if when > action.deadline:
+                when, end = action.deadline, i.End.TIMEOUT
         self._schedule(
             when,
             self._end_attempt,
--- a/tests/test_cores_pure.py
+++ b/tests/test_cores_pure.py
@@ -75,7 +75,7 @@
             rate=1000.0, burst=100000.0, ceiling_rate=RATE, ceiling_burst=BURST, ceiling_slack=SLACK
         )
         self.settings = interface.Settings(
-            (interface.RequestClass(aim=0.4, deadline=1.2),), (plan,), most_units=3.0
+            (interface.RequestClass(aim=0.4, deadline=1.2),), (plan,), max_units=3.0
         )
         self.version, self.serving = 1, {0, 1, 2}
         self.memberships = {1: Membership(1, (0, 1, 2), {}, True)}
@@ -91,7 +91,7 @@
             self.now.timestamp(),
             [
                 interface.ServerList(
-                    interface.ListKind.WHOLE, (interface.ServerEntry(1, interface.Health.READY),)
+                    interface.ListKind.COMPLETE, (interface.ServerEntry(1, interface.Health.READY),)
                 )
             ],
         )
@@ -171,8 +171,8 @@
             exclusive_for = ownership.exclusive_for(ACCOUNT, self.now)
             self.number += 1
             request = interface.Request(
-                self.number, 0, 0, ACCOUNT, 1.0, 1.0, SPREAD, parts=ownership.split_count(ACCOUNT, self.now),
-                held=math.inf if exclusive_for is None else exclusive_for.total_seconds(),
+                self.number, 0, 0, ACCOUNT, 1.0, 1.0, SPREAD, account_workers=ownership.split_count(ACCOUNT, self.now),
+                exclusive_for=math.inf if exclusive_for is None else exclusive_for.total_seconds(),
             )  # fmt: skip
             actions = gateway.handle(self.now.timestamp(), [request])
             if any(isinstance(a, interface.Send) for a in actions):
