--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -122,7 +122,9 @@
         house = worker_share(replace(config.house, seed=seed), start.workers)
         self.plans = house.settings.plans
         self.max_units = house.settings.max_units
-        self.repeatable = [request_class.idempotency.value == "safe" for request_class in house.settings.classes]
+        self.repeatable = [
+            request_class.idempotency.value == "safe" for request_class in house.settings.classes
+        ]
         self.exchange = Exchange(
             Reducer(house), self.now, NodeListReader(config.zones), self.log, self._on_drained
         )
--- a/tests/test_cores_pure.py
+++ b/tests/test_cores_pure.py
@@ -171,7 +171,8 @@
             exclusive_for = ownership.exclusive_for(ACCOUNT, self.now)
             self.number += 1
             request = interface.Request(
-                self.number, 0, 0, ACCOUNT, 1.0, 1.0, SPREAD, account_workers=ownership.split_count(ACCOUNT, self.now),
+                self.number, 0, 0, ACCOUNT, 1.0, 1.0, SPREAD,
+                account_workers=ownership.split_count(ACCOUNT, self.now),
                 exclusive_for=math.inf if exclusive_for is None else exclusive_for.total_seconds(),
             )  # fmt: skip
             actions = gateway.handle(self.now.timestamp(), [request])
