--- a/opalgauge/cores/supervisor.py
+++ b/opalgauge/cores/supervisor.py
@@ -31,7 +31,7 @@
 from opalgauge.lifecycle.logs import Log
 from opalgauge.lifecycle.reload import reread
 from opalgauge.lifecycle.sources import Reading, Source, told_again
-from opalgauge.memory.drain import EXIT_MARGIN, DrainSchedule, kill_after
+from opalgauge.memory.drain import EXIT_MARGIN, DrainSchedule, min_time_to_kill
 from opalgauge.wire.listener import Acceptor, bind
 
 TICK_INTERVAL = 0.025  # s between checks of the heartbeats
@@ -82,10 +82,10 @@
         self.reading, self.config, self.source, self.log = reading, config, source, log
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self.kill_after = kill_after(config.house.settings.classes)  # time from SIGTERM to SIGKILL, at least
+        self.kill_after = min_time_to_kill(config.house.settings.classes)  # time from SIGTERM to SIGKILL, at least
         self.answer_deadline: datetime | None = None  # while draining: every request is answered by then
         self.machine = state_machine.StateMachine(self._supervisor_settings(reading))
-        self.slots = max(16, config.house.most_clients // 2)
+        self.slots = max(16, config.house.max_clients // 2)
         self.free_slots = list(range(self.slots - 1, -1, -1))
         self.clients: dict[int, Client] = {}
         self.table = SharedTable(reading.workers, self.slots)
@@ -170,7 +170,7 @@
     def _drain(self) -> None:
         if not self.draining:
             self.draining = True
-            schedule = DrainSchedule.begun(self.clock.now(), self.kill_after, successor=False)
+            schedule = DrainSchedule.starting_at(self.clock.now(), self.kill_after, has_successor=False)
             self.answer_deadline = schedule.answer_all
         self.step(state_machine.DrainRequested())
 
@@ -326,7 +326,7 @@
             return
         self.acceptor = Acceptor(self.listener, self._accepted)
         host, port = self.config.listen
-        known = len(self.config.house.known)
+        known = len(self.config.house.known_servers)
         workers = self.table.workers
         self.log(f"ready: {self.config.name} on {host}:{port}, {known} stock nodes known, {workers} workers")
 
@@ -496,7 +496,7 @@
     Raises ConfigError or OSError if it cannot start.
     """
     config = make_config(reading.told, reading.environ)
-    if config.house.most_clients < 2 * reading.workers * 8:
+    if config.house.max_clients < 2 * reading.workers * 8:
         raise ConfigError(f"sockets are too few for {reading.workers} workers")
     raise_descriptor_limit()
     return uvloop.run(serve(reading, config, source, log))
--- a/opalgauge/lab/zone_simulation.py
+++ b/opalgauge/lab/zone_simulation.py
@@ -10,7 +10,7 @@
 
 from opalgauge.lab.server_model import ServerModel
 from opalgauge.lab.simulation import TICK_INTERVAL, Simulation
-from opalgauge.memory.effects import AttemptSeen
+from opalgauge.memory.effects import ReportAttempt
 from opalgauge.zones import messages
 from opalgauge.zones.watch import Judged, Rules, Say, Watch
 from starlinggap import Gateway
@@ -184,7 +184,7 @@
 
     def _trial(self, ingress: int, server: int) -> None:
         watch, zone = self.watches[ingress], self.entries[server - 1].zone
-        watch.seen(AttemptSeen((0, server), server, zone, 0), self._wall_clock())
+        watch.seen(ReportAttempt((0, server), server, zone, 0), self._wall_clock())
         took = CONNECT_FAILURE_TIME if self._in_outage(server) else 0.002
         end = i.End.CONNECT_FAILED if self._in_outage(server) else i.End.OK
         self._schedule(
@@ -193,7 +193,7 @@
 
     def _trial_done(self, ingress: int, generation: int, server: int, end: i.End, took: float) -> None:
         if generation == self.generations[ingress]:
-            observation = AttemptSeen(
+            observation = ReportAttempt(
                 (0, server), server, self.entries[server - 1].zone, 0, end, timedelta(seconds=took)
             )
             self.watches[ingress].seen(observation, self._wall_clock())
@@ -228,7 +228,7 @@
         self.attempts[action.request] = attempt + 1
         zone = self.entries[action.server - 1].zone
         self.watches[ingress].seen(
-            AttemptSeen((action.request, attempt), action.server, zone, 0), self._wall_clock()
+            ReportAttempt((action.request, attempt), action.server, zone, 0), self._wall_clock()
         )
         self.in_flight[ingress, action.request, attempt] = action.server, self.generations[ingress]
         if self._in_outage(action.server):
@@ -261,7 +261,7 @@
         if end in (i.End.CONNECT_FAILED, i.End.RESET) and self.result.first_failure is None:
             self.result.first_failure = self.now
         took = timedelta(seconds=self.now - started)
-        observation = AttemptSeen((request, attempt), server, self.entries[server - 1].zone, 0, end, took)
+        observation = ReportAttempt((request, attempt), server, self.entries[server - 1].zone, 0, end, took)
         self.watches[ingress].seen(observation, self._wall_clock())
         answered = False
         if end is i.End.OK and (pending := self.pending.pop(request, None)):
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -41,11 +41,11 @@
         self.gate = asyncio.Event()
         self.gate.set()
 
-    async def _dial(self, effect: fx.OpenLine, line: LineProtocol) -> None:
+    async def _dial(self, effect: fx.OpenConnection, line: LineProtocol) -> None:
         try:
             await self.gate.wait()
         except asyncio.CancelledError:
-            self.dials.pop(effect.line, None)
+            self.dials.pop(effect.connection_id, None)
             raise
         await super()._dial(effect, line)
 
@@ -121,12 +121,12 @@
 
     @property
     def books(self) -> Any:
-        return self.exchange.reducer.books
+        return self.exchange.reducer.state
 
     def pass_time(self, span: timedelta) -> None:
         """Time moves on; what is due by then happens."""
         self.now += span
-        self.exchange.report(ev.Woken())
+        self.exchange.report(ev.WakeUpDue())
 
     async def client(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         assert self.clients.listener is not None
@@ -178,7 +178,9 @@
     known = read_nodes(
         [{"host": f"s-{n}", "dial": p.address, "health": "in_service"} for n, p in enumerate(parties)], ()
     )
-    reducer = Reducer(house(settings=settings, known=known, node_list_address=node_list.address, **changes))
+    reducer = Reducer(
+        house(settings=settings, known_servers=known, server_list_address=node_list.address, **changes)
+    )
     exchange = GatedExchange(reducer, lambda: here[0].now if here else START, reader, log.append, leave)
     kinds = [("stock-check", True), ("place-order", False)][: len(settings.classes)]
     clients = exchange.clients = Clients(Trade(kinds, ["negoce"], 3.0, 2), exchange.report, lambda: True)
