--- a/opalgauge/cores/messages.py
+++ b/opalgauge/cores/messages.py
@@ -138,40 +138,40 @@
 
 
 # --- worker to worker
-class ForwardRequest(Message, tag=40):
+class DelegateRequest(Message, tag=40):
     """Forwards a request to the worker that owns its account.
 
-    `request` is the sender's number of it; `slot` and `sequence` identify its connection record.
+    `request_id` is the sender's number of it; `slot` and `sequence` identify its connection record.
     """
 
-    request: int
+    request_id: int
     slot: int
     sequence: int
     deadline_ns: int
     method: str
     target: str
-    correlation: str
+    correlation_id: str
     headers: list[tuple[str, str]]
     body: bytes
-    request_class: int
-    plan: int
+    class_index: int
+    plan_index: int
     account: int
     units: float
     spread: int
     first: int
-    repeat: bool
+    is_retry: bool
 
 
-class CancelRequest(Message, tag=41):
+class WithdrawRequest(Message, tag=41):
     """Cancels a forwarded request: its client has left."""
 
-    request: int
+    request_id: int
 
 
-class ForwardedAnswer(Message, tag=42):
+class DelegatedAnswer(Message, tag=42):
     """The answer to a forwarded request. `retry_ms` < 0: no Retry-After."""
 
-    request: int
+    request_id: int
     status: int
     body: bytes
     content_type: str
@@ -180,7 +180,7 @@
 
 ToWorker = Start | AssignConnection | OpenLink | MembershipUpdate | Reload | Drain | AcceptingStopped | Leave
 ToSupervisor = ReportReady | ConnectionClosed | ReportDrained | ReportLoad | OrphansHeld | OrphanAnswer
-BetweenWorkers = ForwardRequest | CancelRequest | ForwardedAnswer
+BetweenWorkers = DelegateRequest | WithdrawRequest | DelegatedAnswer
 
 encode = msgspec.msgpack.Encoder().encode
 
--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -54,19 +54,19 @@
     return stall_after * 1.5 + timedelta(milliseconds=100)
 
 
-def worker_share(house: IngressConfig, workers: int) -> IngressConfig:
+def worker_share(config: IngressConfig, workers: int) -> IngressConfig:
     """A worker's share of the limits of the ingress.
 
     A client's connection takes two descriptors: the supervisor keeps one as well, to answer on it if the
     worker is lost.
     """
-    clients = max(16, house.max_clients // (2 * workers))
+    clients = max(16, config.max_clients // (2 * workers))
     return replace(
-        house,
-        max_server_connections=max(16, house.max_server_connections // workers),
-        max_requests=max(16, min(house.max_requests // workers, clients)),
+        config,
+        max_server_connections=max(16, config.max_server_connections // workers),
+        max_requests=max(16, min(config.max_requests // workers, clients)),
         max_clients=clients,
-        keep_alive_limit=max(4, house.keep_alive_limit // (2 * workers)),
+        keep_alive_limit=max(4, config.keep_alive_limit // (2 * workers)),
         counter_connections=max(1, COUNTER_CONNECTIONS // workers),
     )
 
@@ -119,20 +119,20 @@
         log = make_log(start.log_form, ingress=config.name, worker=self.number)
         self.log = log if start.log_form != "plain" else (lambda text: log(f"worker {self.number}: {text}"))
         seed = config.house.seed + self.number * 7919 + self.generation  # each generation draws other numbers
-        house = worker_share(replace(config.house, seed=seed), start.workers)
-        self.plans = house.settings.plans
-        self.max_units = house.settings.max_units
+        ingress_config = worker_share(replace(config.house, seed=seed), start.workers)
+        self.plans = ingress_config.settings.plans
+        self.max_units = ingress_config.settings.max_units
         self.repeatable = [
-            request_class.idempotency.value == "safe" for request_class in house.settings.classes
+            request_class.idempotency.value == "safe" for request_class in ingress_config.settings.classes
         ]
         self.exchange = Exchange(
-            Reducer(house), self.now, NodeListReader(config.zones), self.log, self._on_drained
+            Reducer(ingress_config), self.now, NodeListReader(config.zones), self.log, self._on_drained
         )
         self.exchange.do |= {
             effects.AnswerClient: self._answer,
             effects.SendAttempt: self._send_attempt,
-            effects.DelegateRequest: self._forward,
-            effects.WithdrawRequest: self._cancel_forwarded,
+            effects.DelegateRequest: self._delegate,
+            effects.WithdrawRequest: self._withdraw,
         }
         self.clients = Clients(config.trade, self._on_event, lambda: not self.draining, WorkerFront)
         # Long bodies are not streamed: they would have to pass between workers.
@@ -145,14 +145,14 @@
         self.sequences: dict[int, int] = {}  # by slot: sequence of the last request
         self.claimed_ids: dict[int, int] = {}  # by request held here: the entry of its id in the table
         self.record_keys: dict[int, tuple[int, int]] = {}  # by request decided here: slot and sequence
-        self.forwarded: dict[int, tuple[int, int, int]] = {}  # by request forwarded: worker, slot, sequence
+        self.delegated: dict[int, tuple[int, int, int]] = {}  # by request forwarded: worker, slot, sequence
         # By request that another worker forwarded here: its link, and its number there.
         self.remote_requests: dict[int, tuple[messages.WorkerLink, int]] = {}
         self.remote_numbers: dict[tuple[int, int, int], int] = {}  # by worker, generation, number there
         # By worker: the last answers sent to it.
         self.recent_answers: dict[int, deque[messages.OrphanAnswer]] = {}
         self.remote_count = 0
-        self.requests_taken, self.account_counts = 0, dict[tuple[int, int, int], int]()
+        self.requests_received, self.account_counts = 0, dict[tuple[int, int, int], int]()
         self.last_heartbeat = time.monotonic()
         self.channel = messages.Channel(
             channel_sock, messages.ToWorker, self._on_message, self._on_supervisor_lost
@@ -176,19 +176,19 @@
         """Reports the load of the last interval to the supervisor, and schedules the next report."""
         busiest = sorted(self.account_counts.items(), key=lambda kv: (-kv[1], kv[0]))[:MAX_REPORTED_ACCOUNTS]
         accounts = [
-            (account, requests, self._max_parts(plan, spread))
-            for (account, plan, spread), requests in busiest
+            (account, requests, self._max_parts(plan_index, spread))
+            for (account, plan_index, spread), requests in busiest
         ]
-        self.channel.send(messages.ReportLoad(self.requests_taken, accounts))
-        self.requests_taken, self.account_counts = 0, {}
+        self.channel.send(messages.ReportLoad(self.requests_received, accounts))
+        self.requests_received, self.account_counts = 0, {}
         self.loop.call_later(LOAD_REPORT_INTERVAL, self.report_load)
 
-    def _max_parts(self, plan: int, spread: int) -> int:
+    def _max_parts(self, plan_index: int, spread: int) -> int:
         """How many workers can share an account so that each part of its ceiling holds two requests."""
-        limits = self.plans[plan]
-        if not limits.ceiling_rate:
+        plan = self.plans[plan_index]
+        if not plan.ceiling_rate:
             return 1 << 16
-        return max(1, int(limits.ceiling_burst / (2 * self.max_units * max(1, spread))))
+        return max(1, int(plan.ceiling_burst / (2 * self.max_units * max(1, spread))))
 
     # --- requests of clients -------------------------------------------------------------------------------
     def _on_event(self, event: events.Event) -> None:
@@ -207,7 +207,7 @@
         if owner != self.number and owner not in self.links:
             # The owner has just gone: decide here, with the small part that a new owner starts with.
             owner = self.number
-        self.requests_taken += 1
+        self.requests_received += 1
         if len(self.account_counts) < MAX_COUNTED_ACCOUNTS:
             key = event.account, event.plan_index, event.spread
             self.account_counts[key] = self.account_counts.get(key, 0) + 1
@@ -223,7 +223,7 @@
             self._set_account_share(event)
             self.exchange.report(event)
         else:
-            self.forwarded[event.request_id] = owner, slot, sequence
+            self.delegated[event.request_id] = owner, slot, sequence
             self.exchange.report(events.RequestDelegated(event, owner))
 
     def _set_account_share(self, event: events.RequestReceived) -> None:
@@ -232,11 +232,11 @@
         event.exclusive_seconds = math.inf if exclusive_for is None else exclusive_for.total_seconds()
         event.deciding_workers = self.ownership.split_count(event.account, now)
 
-    def _on_request_over(self, request: int) -> None:
+    def _on_request_over(self, request_id: int) -> None:
         """No client waits for the request any more: it was answered, or its client left."""
-        self.record_keys.pop(request, None)
-        self.forwarded.pop(request, None)
-        if (entry := self.claimed_ids.pop(request, None)) is not None:
+        self.record_keys.pop(request_id, None)
+        self.delegated.pop(request_id, None)
+        if (entry := self.claimed_ids.pop(request_id, None)) is not None:
             self.table.release_id(entry)
 
     def _send_attempt(self, effect: effects.SendAttempt) -> None:
@@ -245,58 +245,58 @@
         self.exchange.send(effect)
 
     # --- requests between workers --------------------------------------------------------------------------
-    def _forward(self, effect: effects.DelegateRequest) -> None:
-        taken, content = effect.received, effect.received.http_request
-        forwarded = self.forwarded.get(taken.request_id)
+    def _delegate(self, effect: effects.DelegateRequest) -> None:
+        received, http_request = effect.received, effect.received.http_request
+        delegated = self.delegated.get(received.request_id)
         link = self.links.get(effect.worker)
-        if forwarded is None or link is None:
+        if delegated is None or link is None:
             self.exchange.report(events.WorkerLost(effect.worker, frozenset()))
             return
-        deadline_ns = time.monotonic_ns() + taken.time_left // timedelta(microseconds=1) * 1000
+        deadline_ns = time.monotonic_ns() + received.time_left // timedelta(microseconds=1) * 1000
         link.send(
-            messages.ForwardRequest(
-                taken.request_id, forwarded[1], forwarded[2], deadline_ns, content.method, content.target,
-                content.correlation_id,
-                list(content.headers), content.body, taken.class_index, taken.plan_index,
-                taken.account, taken.units, taken.spread, taken.first, taken.is_retry,
+            messages.DelegateRequest(
+                received.request_id, delegated[1], delegated[2], deadline_ns,
+                http_request.method, http_request.target, http_request.correlation_id,
+                list(http_request.headers), http_request.body, received.class_index, received.plan_index,
+                received.account, received.units, received.spread, received.first, received.is_retry,
             )
         )  # fmt: skip
 
-    def _cancel_forwarded(self, effect: effects.WithdrawRequest) -> None:
+    def _withdraw(self, effect: effects.WithdrawRequest) -> None:
         if link := self.links.get(effect.worker):
-            link.send(messages.CancelRequest(effect.request_id))
+            link.send(messages.WithdrawRequest(effect.request_id))
 
     def _on_link_message(self, link: messages.WorkerLink, message: Any) -> None:
-        if isinstance(message, messages.ForwardRequest):
-            self._on_forwarded_request(link, message)
-        elif isinstance(message, messages.ForwardedAnswer):
+        if isinstance(message, messages.DelegateRequest):
+            self._on_delegated_request(link, message)
+        elif isinstance(message, messages.DelegatedAnswer):
             retry = timedelta(milliseconds=message.retry_ms) if message.retry_ms >= 0 else None
             self.exchange.report(
                 events.DelegatedRequestAnswered(
-                    message.request, message.status, message.body, message.content_type, retry
+                    message.request_id, message.status, message.body, message.content_type, retry
                 )
             )
-        elif isinstance(message, messages.CancelRequest):
-            number = self.remote_numbers.get((link.worker, link.generation, message.request))
+        elif isinstance(message, messages.WithdrawRequest):
+            number = self.remote_numbers.get((link.worker, link.generation, message.request_id))
             if number is not None:
                 self._remove_remote(number)
                 self.exchange.report(events.ClientDisconnected(number))
 
-    def _on_forwarded_request(self, link: messages.WorkerLink, message: messages.ForwardRequest) -> None:
+    def _on_delegated_request(self, link: messages.WorkerLink, message: messages.DelegateRequest) -> None:
         self.remote_count += 1
         number = -self.remote_count  # negative: never the number of a client or request of this worker
         time_left = timedelta(microseconds=(message.deadline_ns - time.monotonic_ns()) // 1000)
-        self.remote_requests[number] = link, message.request
-        self.remote_numbers[link.worker, link.generation, message.request] = number
+        self.remote_requests[number] = link, message.request_id
+        self.remote_numbers[link.worker, link.generation, message.request_id] = number
         self.record_keys[number] = message.slot, message.sequence
         headers = tuple((name, value) for name, value in message.headers)
-        content = events.HttpRequest(
-            message.method, message.target, message.correlation, headers, message.body
+        http_request = events.HttpRequest(
+            message.method, message.target, message.correlation_id, headers, message.body
         )
         event = events.RequestReceived(
-            number, content, message.request_class, message.plan, message.account,
+            number, http_request, message.class_index, message.plan_index, message.account,
             max(time_left, timedelta(milliseconds=1)), message.units, message.spread, message.first,
-            message.repeat, number,
+            message.is_retry, number,
         )  # fmt: skip
         self._set_account_share(event)
         self.exchange.report(event)
@@ -316,14 +316,16 @@
         remote = self._remove_remote(effect.request_id)
         if remote is None:
             return
-        link, request = remote
+        link, remote_request_id = remote
         retry_ms = -1 if effect.retry_after is None else effect.retry_after // timedelta(milliseconds=1)
         orphan = messages.OrphanAnswer(
             slot, sequence, effect.status, effect.body, effect.content_type, retry_ms
         )
         if link.transport is not None:
             link.send(
-                messages.ForwardedAnswer(request, effect.status, effect.body, effect.content_type, retry_ms)
+                messages.DelegatedAnswer(
+                    remote_request_id, effect.status, effect.body, effect.content_type, retry_ms
+                )
             )
             self.recent_answers.setdefault(link.worker, deque(maxlen=MAX_RECENT_ANSWERS)).append(orphan)
         else:
@@ -335,17 +337,17 @@
         goes to the supervisor, which has its clients' connections."""
         if self.links.get(link.worker) is link:
             del self.links[link.worker]
-        forwarded = {
-            request: (slot, sequence)
-            for request, (owner, slot, sequence) in self.forwarded.items()
+        delegated = {
+            request_id: (slot, sequence)
+            for request_id, (owner, slot, sequence) in self.delegated.items()
             if owner == link.worker
         }
         attempted = frozenset(
-            request
-            for request, (slot, sequence) in forwarded.items()
+            request_id
+            for request_id, (slot, sequence) in delegated.items()
             if self.table.connection_record(slot).attempted == sequence
         )
-        if forwarded:
+        if delegated:
             self.exchange.report(events.WorkerLost(link.worker, attempted))
         held = [
             self.record_keys[number]
