--- a/opalgauge/cores/messages.py
+++ b/opalgauge/cores/messages.py
@@ -113,7 +113,7 @@
 
 
 class OrphansHeld(Message, tag=24):
-    """The unanswered requests that a lost worker had forwarded to the sender.
+    """The unanswered requests that a lost worker had delegated to the sender.
 
     `worker` and `generation` identify the lost worker; `held` are (slot, sequence) pairs.
     """
@@ -139,7 +139,7 @@
 
 # --- worker to worker
 class DelegateRequest(Message, tag=40):
-    """Forwards a request to the worker that owns its account.
+    """Delegates a request to the worker that owns its account.
 
     `request_id` is the sender's number of it; `slot` and `sequence` identify its connection record.
     """
@@ -163,13 +163,13 @@
 
 
 class WithdrawRequest(Message, tag=41):
-    """Cancels a forwarded request: its client has left."""
+    """Withdraws a delegated request: its client has left."""
 
     request_id: int
 
 
 class DelegatedAnswer(Message, tag=42):
-    """The answer to a forwarded request. `retry_ms` < 0: no Retry-After."""
+    """The answer to a delegated request. `retry_ms` < 0: no Retry-After."""
 
     request_id: int
     status: int
--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -145,8 +145,8 @@
         self.sequences: dict[int, int] = {}  # by slot: sequence of the last request
         self.claimed_ids: dict[int, int] = {}  # by request held here: the entry of its id in the table
         self.record_keys: dict[int, tuple[int, int]] = {}  # by request decided here: slot and sequence
-        self.delegated: dict[int, tuple[int, int, int]] = {}  # by request forwarded: worker, slot, sequence
-        # By request that another worker forwarded here: its link, and its number there.
+        self.delegated: dict[int, tuple[int, int, int]] = {}  # by delegated request: worker, slot, sequence
+        # By request that another worker delegated to this one: its link, and its number there.
         self.remote_requests: dict[int, tuple[messages.WorkerLink, int]] = {}
         self.remote_numbers: dict[tuple[int, int, int], int] = {}  # by worker, generation, number there
         # By worker: the last answers sent to it.
@@ -385,7 +385,7 @@
         self.drained = True
         self.channel.send(messages.ReportDrained())
         if self.supervisor_lost:
-            # The other workers may still forward requests until their connections are closed.
+            # The other workers may still delegate requests until their connections are closed.
             self.loop.call_later(0.2, self.finished.set)
 
     def _on_supervisor_lost(self) -> None:
--- a/tests/test_cores_scenes.py
+++ b/tests/test_cores_scenes.py
@@ -233,7 +233,7 @@
             await ingress.wait_until("a process", lambda: 1 in ingress.pids())
             ingress.signal(1, KILL)
             await ingress.wait_until("its exit", lambda: 1 not in ingress.pids())
-            # 429 if the request had just been forwarded to the worker that exited.
+            # 429 if the request had just been delegated to the worker that exited.
             assert await client.ask(request_bytes("place-order", account_owned_by(1), f"n{_n}")) in (200, 429)
         await ingress.wait_for_log("worker 1: keeps ending (signal 9)")
         await ingress.wait_for_log("worker 1: serves again")
