--- a/opalgauge/cores/supervisor.py
+++ b/opalgauge/cores/supervisor.py
@@ -82,9 +82,8 @@
         self.reading, self.config, self.source, self.log = reading, config, source, log
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self.kill_after = min_time_to_kill(
-            config.house.settings.classes
-        )  # time from SIGTERM to SIGKILL, at least
+        # The shortest time from SIGTERM to SIGKILL.
+        self.kill_after = min_time_to_kill(config.house.settings.classes)
         self.answer_deadline: datetime | None = None  # while draining: every request is answered by then
         self.machine = state_machine.StateMachine(self._supervisor_settings(reading))
         self.slots = max(16, config.house.max_clients // 2)
