--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -1,8 +1,8 @@
-"""A worker: an ingress's whole program on one core, which decides for its part of the trade accounts.
+"""A worker: the whole ingress program on one core, which decides for its part of the accounts.
 
-The guardian deals it clients' connections. Each request that it reads goes to the worker that owns its
-account, often itself; the answer comes back the same way. What it is about to do it first writes on the
-board, so that its end, at any instant, leaves nothing unknown that a rule depends on.
+The supervisor assigns clients' connections to it. Each request that it reads goes to the worker that owns the
+request's account, often itself; the answer comes back the same way. A worker writes every step to the shared
+table before it takes it, so that the supervisor can settle its connections whenever it is lost.
 """
 
 from __future__ import annotations
@@ -40,36 +40,39 @@
 from opalgauge.wire.exchange import Exchange
 from opalgauge.wire.node_list import NodeListReader
 
-HEARTBEAT_INTERVAL = 0.02  # s between beats
-LOAD_REPORT_INTERVAL = 0.5  # s between words on what was taken in
-MAX_REPORTED_ACCOUNTS = 8  # accounts named in one
-MAX_COUNTED_ACCOUNTS = 4096  # accounts counted between two
-MAX_RECENT_ANSWERS = 256  # answers kept for a holder that may not have read them
-EXIT_FENCED = 3  # exit status of a life that found itself replaced
-COUNTER_CONNECTIONS = 16  # of an ingress, all its workers together
+HEARTBEAT_INTERVAL = 0.02  # s between heartbeats
+LOAD_REPORT_INTERVAL = 0.5  # s between load reports
+MAX_REPORTED_ACCOUNTS = 8  # accounts named in a load report
+MAX_COUNTED_ACCOUNTS = 4096  # accounts counted between two load reports
+MAX_RECENT_ANSWERS = 256  # answers kept per worker, in case it is lost before it has read them
+EXIT_FENCED = 3  # exit status of a generation that found itself fenced off
+COUNTER_CONNECTIONS = 16  # to the quota counter, of all workers of an ingress together
 
 
 def settle_time(stall_after: timedelta) -> timedelta:
-    """Nobody who still lives is further behind with a roster: the guardian would have replaced it."""
+    """The longest delay with which a live worker receives a membership: a slower one would be replaced."""
     return stall_after * 1.5 + timedelta(milliseconds=100)
 
 
-def worker_share(house: IngressConfig, workers: int) -> IngressConfig:
-    """A worker's part of what the ingress may hold. A client's connection takes two descriptors: the
-    guardian keeps one as well, to answer on it should the worker end."""
-    clients = max(16, house.max_clients // (2 * workers))
+def worker_share(config: IngressConfig, workers: int) -> IngressConfig:
+    """A worker's share of the limits of the ingress.
+
+    A client's connection takes two descriptors: the supervisor keeps one as well, to answer on it if the
+    worker is lost.
+    """
+    clients = max(16, config.max_clients // (2 * workers))
     return replace(
-        house,
-        max_server_connections=max(16, house.max_server_connections // workers),
-        max_requests=max(16, min(house.max_requests // workers, clients)),
+        config,
+        max_server_connections=max(16, config.max_server_connections // workers),
+        max_requests=max(16, min(config.max_requests // workers, clients)),
         max_clients=clients,
-        keep_alive_limit=max(4, house.keep_alive_limit // (2 * workers)),
+        keep_alive_limit=max(4, config.keep_alive_limit // (2 * workers)),
         counter_connections=max(1, COUNTER_CONNECTIONS // workers),
     )
 
 
 class WorkerRequestHandler(RequestHandler):
-    """aiohttp's connection handler, which also counts what came in and tells when an answer has gone out."""
+    """aiohttp's connection handler that also counts received bytes and records written answers."""
 
     __slots__ = ("bytes_received", "worker", "slot", "request_recorded")
 
@@ -78,19 +81,21 @@
         self.bytes_received, self.worker, self.slot, self.request_recorded = 0, worker, -1, False
 
     def data_received(self, data: bytes) -> None:
+        """Counts the bytes that arrive."""
         self.bytes_received += len(data)
         super().data_received(data)
 
     async def finish_response(self, request: Any, resp: Any, start_time: float | None) -> Any:
+        """Records the answer in the shared table once it has been written."""
         result = await super().finish_response(request, resp, start_time)
-        # An order's own bytes were counted when it was taken; more may have come behind it since.
+        # The bytes of a request were recorded with it; bytes of the next one may have arrived since.
         self.worker.table.record_answer(self.slot, None if self.request_recorded else self.bytes_received)
         self.request_recorded = False
         return result
 
 
 class WorkerFront(Front):
-    """A front without a listener: its connections are dealt to it."""
+    """A front without a listener: the supervisor assigns its connections."""
 
     worker: Worker
 
@@ -99,7 +104,7 @@
 
 
 class Worker:
-    """One life of a worker."""
+    """One generation of a worker."""
 
     def __init__(
         self, start: messages.Start, config: Config, channel_sock: socket.socket, table: SharedTable
@@ -113,39 +118,41 @@
         self.draining = self.supervisor_lost = self.drained = False
         log = make_log(start.log_form, ingress=config.name, worker=self.number)
         self.log = log if start.log_form != "plain" else (lambda text: log(f"worker {self.number}: {text}"))
-        seed = config.house.seed + self.number * 7919 + self.generation  # no two lives draw alike
-        house = worker_share(replace(config.house, seed=seed), start.workers)
-        self.plans = house.settings.plans
-        self.max_units = house.settings.max_units
+        seed = config.house.seed + self.number * 7919 + self.generation  # each generation draws other numbers
+        ingress_config = worker_share(replace(config.house, seed=seed), start.workers)
+        self.plans = ingress_config.settings.plans
+        self.max_units = ingress_config.settings.max_units
         self.repeatable = [
-            request_class.idempotency.value == "safe" for request_class in house.settings.classes
+            request_class.idempotency.value == "safe" for request_class in ingress_config.settings.classes
         ]
         self.exchange = Exchange(
-            Reducer(house), self.now, NodeListReader(config.zones), self.log, self._on_drained
+            Reducer(ingress_config), self.now, NodeListReader(config.zones), self.log, self._on_drained
         )
         self.exchange.do |= {
             effects.AnswerClient: self._answer,
             effects.SendAttempt: self._send_attempt,
-            effects.DelegateRequest: self._forward,
-            effects.WithdrawRequest: self._cancel_forwarded,
+            effects.DelegateRequest: self._delegate,
+            effects.WithdrawRequest: self._withdraw,
         }
         self.clients = Clients(config.trade, self._on_event, lambda: not self.draining, WorkerFront)
-        self.exchange.flows = self.clients.long = False  # a long body would have to pass between workers
+        # Long bodies are not streamed: they would have to pass between workers.
+        self.exchange.flows = self.clients.long = False
         self.clients.server.worker = self  # type: ignore[attr-defined]
         self.clients.over = self._on_request_over
         self.exchange.clients = self.clients
         self.links: dict[int, messages.WorkerLink] = {}
         self.client_sockets: dict[RequestHandler, socket.socket] = {}
-        self.sequences: dict[int, int] = {}  # by slot: requests that came over it
-        self.claimed_ids: dict[int, int] = {}  # by order held here: its id's place on the board
-        self.record_keys: dict[int, tuple[int, int]] = {}  # by order decided here: slot and tag
-        self.forwarded: dict[int, tuple[int, int, int]] = {}  # by order passed on: worker, slot and tag
-        # By order of another: its link, its number there.
+        self.sequences: dict[int, int] = {}  # by slot: sequence of the last request
+        self.claimed_ids: dict[int, int] = {}  # by request held here: the entry of its id in the table
+        self.record_keys: dict[int, tuple[int, int]] = {}  # by request decided here: slot and sequence
+        self.delegated: dict[int, tuple[int, int, int]] = {}  # by delegated request: worker, slot, sequence
+        # By request that another worker delegated to this one: its link, and its number there.
         self.remote_requests: dict[int, tuple[messages.WorkerLink, int]] = {}
-        self.remote_numbers: dict[tuple[int, int, int], int] = {}  # and back: worker, life, number there
-        self.recent_answers: dict[int, deque[messages.OrphanAnswer]] = {}  # by worker: answers to its orders
+        self.remote_numbers: dict[tuple[int, int, int], int] = {}  # by worker, generation, number there
+        # By worker: the last answers sent to it.
+        self.recent_answers: dict[int, deque[messages.OrphanAnswer]] = {}
         self.remote_count = 0
-        self.requests_taken, self.account_counts = 0, dict[tuple[int, int, int], int]()
+        self.requests_received, self.account_counts = 0, dict[tuple[int, int, int], int]()
         self.last_heartbeat = time.monotonic()
         self.channel = messages.Channel(
             channel_sock, messages.ToWorker, self._on_message, self._on_supervisor_lost
@@ -153,35 +160,37 @@
 
     # --- time ----------------------------------------------------------------------------------------------
     def now(self) -> datetime:
-        """The time of an event. Guards what is done about it against a life that was replaced."""
+        """The time of an event. Exits if this generation has been fenced off: it must not act any more."""
         if self.table.is_fenced(self.number, self.generation):
             os._exit(EXIT_FENCED)
         return self.clock.now()
 
     def heartbeat(self) -> None:
+        """Writes a heartbeat to the shared table, and schedules the next one."""
         self.now()
         self.last_heartbeat = time.monotonic()
         self.table.record_heartbeat(self.number)
         self.loop.call_later(HEARTBEAT_INTERVAL, self.heartbeat)
 
     def report_load(self) -> None:
+        """Reports the load of the last interval to the supervisor, and schedules the next report."""
         busiest = sorted(self.account_counts.items(), key=lambda kv: (-kv[1], kv[0]))[:MAX_REPORTED_ACCOUNTS]
         accounts = [
-            (account, requests, self._max_parts(plan, spread))
-            for (account, plan, spread), requests in busiest
+            (account, requests, self._max_parts(plan_index, spread))
+            for (account, plan_index, spread), requests in busiest
         ]
-        self.channel.send(messages.ReportLoad(self.requests_taken, accounts))
-        self.requests_taken, self.account_counts = 0, {}
+        self.channel.send(messages.ReportLoad(self.requests_received, accounts))
+        self.requests_received, self.account_counts = 0, {}
         self.loop.call_later(LOAD_REPORT_INTERVAL, self.report_load)
 
-    def _max_parts(self, plan: int, spread: int) -> int:
-        """So many cores can share an account that each part of its ceiling still holds two requests."""
-        limits = self.plans[plan]
-        if not limits.ceiling_rate:
+    def _max_parts(self, plan_index: int, spread: int) -> int:
+        """How many workers can share an account so that each part of its ceiling holds two requests."""
+        plan = self.plans[plan_index]
+        if not plan.ceiling_rate:
             return 1 << 16
-        return max(1, int(limits.ceiling_burst / (2 * self.max_units * max(1, spread))))
+        return max(1, int(plan.ceiling_burst / (2 * self.max_units * max(1, spread))))
 
-    # --- what the clients ask ------------------------------------------------------------------------------
+    # --- requests of clients -------------------------------------------------------------------------------
     def _on_event(self, event: events.Event) -> None:
         if type(event) is not events.RequestReceived:
             self.exchange.report(event)
@@ -196,9 +205,9 @@
         sequence = self.sequences[slot] = self.sequences[slot] + 1
         owner = self.ownership.worker_for(event.account)
         if owner != self.number and owner not in self.links:
-            # Guards an order against an owner that has just gone; its part here is small.
+            # The owner has just gone: decide here, with the small part that a new owner starts with.
             owner = self.number
-        self.requests_taken += 1
+        self.requests_received += 1
         if len(self.account_counts) < MAX_COUNTED_ACCOUNTS:
             key = event.account, event.plan_index, event.spread
             self.account_counts[key] = self.account_counts.get(key, 0) + 1
@@ -214,20 +223,20 @@
             self._set_account_share(event)
             self.exchange.report(event)
         else:
-            self.forwarded[event.request_id] = owner, slot, sequence
+            self.delegated[event.request_id] = owner, slot, sequence
             self.exchange.report(events.RequestDelegated(event, owner))
 
     def _set_account_share(self, event: events.RequestReceived) -> None:
         now = self.clock.now()
         exclusive_for = self.ownership.exclusive_for(event.account, now)
         event.exclusive_seconds = math.inf if exclusive_for is None else exclusive_for.total_seconds()
-        event.deciding_workers = self.ownership.parts(event.account, now)
+        event.deciding_workers = self.ownership.split_count(event.account, now)
 
-    def _on_request_over(self, request: int) -> None:
-        """No client waits for it: it was answered, or its client left."""
-        self.record_keys.pop(request, None)
-        self.forwarded.pop(request, None)
-        if (entry := self.claimed_ids.pop(request, None)) is not None:
+    def _on_request_over(self, request_id: int) -> None:
+        """No client waits for the request any more: it was answered, or its client left."""
+        self.record_keys.pop(request_id, None)
+        self.delegated.pop(request_id, None)
+        if (entry := self.claimed_ids.pop(request_id, None)) is not None:
             self.table.release_id(entry)
 
     def _send_attempt(self, effect: effects.SendAttempt) -> None:
@@ -235,59 +244,59 @@
             self.table.record_attempt(*record_key)
         self.exchange.send(effect)
 
-    # --- orders between workers ----------------------------------------------------------------------------
-    def _forward(self, effect: effects.DelegateRequest) -> None:
-        taken, content = effect.received, effect.received.http_request
-        forwarded = self.forwarded.get(taken.request_id)
+    # --- requests between workers --------------------------------------------------------------------------
+    def _delegate(self, effect: effects.DelegateRequest) -> None:
+        received, http_request = effect.received, effect.received.http_request
+        delegated = self.delegated.get(received.request_id)
         link = self.links.get(effect.worker)
-        if forwarded is None or link is None:
+        if delegated is None or link is None:
             self.exchange.report(events.WorkerLost(effect.worker, frozenset()))
             return
-        deadline_ns = time.monotonic_ns() + taken.time_left // timedelta(microseconds=1) * 1000
+        deadline_ns = time.monotonic_ns() + received.time_left // timedelta(microseconds=1) * 1000
         link.send(
-            messages.ForwardRequest(
-                taken.request_id, forwarded[1], forwarded[2], deadline_ns, content.method, content.target,
-                content.correlation_id,
-                list(content.headers), content.body, taken.class_index, taken.plan_index,
-                taken.account, taken.units, taken.spread, taken.first, taken.is_retry,
+            messages.DelegateRequest(
+                received.request_id, delegated[1], delegated[2], deadline_ns,
+                http_request.method, http_request.target, http_request.correlation_id,
+                list(http_request.headers), http_request.body, received.class_index, received.plan_index,
+                received.account, received.units, received.spread, received.first, received.is_retry,
             )
         )  # fmt: skip
 
-    def _cancel_forwarded(self, effect: effects.WithdrawRequest) -> None:
+    def _withdraw(self, effect: effects.WithdrawRequest) -> None:
         if link := self.links.get(effect.worker):
-            link.send(messages.CancelRequest(effect.request_id))
+            link.send(messages.WithdrawRequest(effect.request_id))
 
     def _on_link_message(self, link: messages.WorkerLink, message: Any) -> None:
-        if isinstance(message, messages.ForwardRequest):
-            self._on_forwarded_request(link, message)
-        elif isinstance(message, messages.ForwardedAnswer):
+        if isinstance(message, messages.DelegateRequest):
+            self._on_delegated_request(link, message)
+        elif isinstance(message, messages.DelegatedAnswer):
             retry = timedelta(milliseconds=message.retry_ms) if message.retry_ms >= 0 else None
             self.exchange.report(
                 events.DelegatedRequestAnswered(
-                    message.request, message.status, message.body, message.content_type, retry
+                    message.request_id, message.status, message.body, message.content_type, retry
                 )
             )
-        elif isinstance(message, messages.CancelRequest):
-            number = self.remote_numbers.get((link.worker, link.generation, message.request))
+        elif isinstance(message, messages.WithdrawRequest):
+            number = self.remote_numbers.get((link.worker, link.generation, message.request_id))
             if number is not None:
                 self._remove_remote(number)
                 self.exchange.report(events.ClientDisconnected(number))
 
-    def _on_forwarded_request(self, link: messages.WorkerLink, message: messages.ForwardRequest) -> None:
+    def _on_delegated_request(self, link: messages.WorkerLink, message: messages.DelegateRequest) -> None:
         self.remote_count += 1
-        number = -self.remote_count  # a client and an order of its own, never one of this worker's
+        number = -self.remote_count  # negative: never the number of a client or request of this worker
         time_left = timedelta(microseconds=(message.deadline_ns - time.monotonic_ns()) // 1000)
-        self.remote_requests[number] = link, message.request
-        self.remote_numbers[link.worker, link.generation, message.request] = number
+        self.remote_requests[number] = link, message.request_id
+        self.remote_numbers[link.worker, link.generation, message.request_id] = number
         self.record_keys[number] = message.slot, message.sequence
         headers = tuple((name, value) for name, value in message.headers)
-        content = events.HttpRequest(
-            message.method, message.target, message.correlation, headers, message.body
+        http_request = events.HttpRequest(
+            message.method, message.target, message.correlation_id, headers, message.body
         )
         event = events.RequestReceived(
-            number, content, message.request_class, message.plan, message.account,
+            number, http_request, message.class_index, message.plan_index, message.account,
             max(time_left, timedelta(milliseconds=1)), message.units, message.spread, message.first,
-            message.repeat, number,
+            message.is_retry, number,
         )  # fmt: skip
         self._set_account_share(event)
         self.exchange.report(event)
@@ -301,20 +310,22 @@
 
     def _answer(self, effect: effects.AnswerClient) -> None:
         if effect.request_id >= 0:
-            self.clients.answer(effect)  # never one that is passed on while it comes
+            self.clients.answer(effect)  # always a complete answer: long bodies are not streamed
             return
         slot, sequence = self.record_keys.get(effect.request_id, (-1, 0))
         remote = self._remove_remote(effect.request_id)
         if remote is None:
             return
-        link, request = remote
+        link, remote_request_id = remote
         retry_ms = -1 if effect.retry_after is None else effect.retry_after // timedelta(milliseconds=1)
         orphan = messages.OrphanAnswer(
             slot, sequence, effect.status, effect.body, effect.content_type, retry_ms
         )
         if link.transport is not None:
             link.send(
-                messages.ForwardedAnswer(request, effect.status, effect.body, effect.content_type, retry_ms)
+                messages.DelegatedAnswer(
+                    remote_request_id, effect.status, effect.body, effect.content_type, retry_ms
+                )
             )
             self.recent_answers.setdefault(link.worker, deque(maxlen=MAX_RECENT_ANSWERS)).append(orphan)
         else:
@@ -322,21 +333,21 @@
         self.exchange.report(events.ClientDisconnected(effect.request_id))
 
     def _on_link_lost(self, link: messages.WorkerLink) -> None:
-        """Another worker is no more. What it decided for us is settled here; what we decide for it goes to
-        the guardian, which has its clients' connections."""
+        """Another worker is lost. What it decided for this one is settled here; what this one decides for it
+        goes to the supervisor, which has its clients' connections."""
         if self.links.get(link.worker) is link:
             del self.links[link.worker]
-        forwarded = {
-            request: (slot, sequence)
-            for request, (owner, slot, sequence) in self.forwarded.items()
+        delegated = {
+            request_id: (slot, sequence)
+            for request_id, (owner, slot, sequence) in self.delegated.items()
             if owner == link.worker
         }
         attempted = frozenset(
-            request
-            for request, (slot, sequence) in forwarded.items()
+            request_id
+            for request_id, (slot, sequence) in delegated.items()
             if self.table.connection_record(slot).attempted == sequence
         )
-        if forwarded:
+        if delegated:
             self.exchange.report(events.WorkerLost(link.worker, attempted))
         held = [
             self.record_keys[number]
@@ -347,7 +358,7 @@
             self.channel.send(answer)
         self.channel.send(messages.OrphansHeld(link.worker, link.generation, held))
 
-    # --- what the guardian says ----------------------------------------------------------------------------
+    # --- messages of the supervisor ------------------------------------------------------------------------
     def _on_message(self, message: Any, fd: int | None) -> None:
         if isinstance(message, messages.AssignConnection) and fd is not None:
             self.loop.create_task(self._take_connection(message, socket.socket(fileno=fd)))
@@ -374,13 +385,13 @@
         self.drained = True
         self.channel.send(messages.ReportDrained())
         if self.supervisor_lost:
-            # Others may still pass an order on for as long as their connections take to close.
+            # The other workers may still delegate requests until their connections are closed.
             self.loop.call_later(0.2, self.finished.set)
 
     def _on_supervisor_lost(self) -> None:
-        # Guards against a worker that serves on when nobody watches it any more.
+        # A worker must not go on serving without a supervisor.
         if time.monotonic() - self.last_heartbeat > self.stall_after.total_seconds():
-            os._exit(EXIT_FENCED)  # it had stalled: what it holds is long overdue
+            os._exit(EXIT_FENCED)  # it had stalled: its requests are overdue
         self.supervisor_lost = True
         self.log("drain: the guardian is gone; answering what is held, then leaving")
         self._drain()
@@ -425,8 +436,9 @@
             self.links[message.worker] = link
             self.recent_answers.pop(message.worker, None)
 
-    # --- a life --------------------------------------------------------------------------------------------
+    # --- life cycle ----------------------------------------------------------------------------------------
     async def run(self) -> None:
+        """Serves until the supervisor asks it to leave, or has ended and nothing is owed any more."""
         front_on_closed = self.clients._went
 
         def on_closed(handler: RequestHandler) -> None:
@@ -448,6 +460,7 @@
 
 
 def read_settings(fd: int) -> dict[str, Any]:
+    """Reads the settings from a descriptor that came with a message, and closes it."""
     with os.fdopen(fd, "rb") as file:
         file.seek(0)
         settings: dict[str, Any] = json.load(file)
@@ -455,13 +468,13 @@
 
 
 async def start_worker(sock: socket.socket, table_fd: int, workers: int) -> None:
-    """Waits for the guardian's first word, then lives by it."""
+    """Waits for the supervisor's `Start` message, then runs the worker."""
     loop = asyncio.get_running_loop()
     first: asyncio.Future[tuple[messages.Start, int]] = loop.create_future()
 
     def on_message(message: Any, fd: int | None) -> None:
         if isinstance(message, messages.Start) and fd is not None:
-            channel.closed = True  # its descriptor goes on in the life's own channel
+            channel.closed = True  # the socket is passed on to the worker's own channel
             loop.remove_reader(sock.fileno())
             first.set_result((message, fd))
 
@@ -473,8 +486,11 @@
 
 
 def main() -> None:
-    """`python -m opalgauge.cores CHANNEL BOARD SEATS seat=N`: descriptors, how many workers there
-    are, and which this is, for people who look at processes."""
+    """Runs `python -m opalgauge.cores CHANNEL_FD TABLE_FD WORKERS seat=N`.
+
+    The arguments are two descriptors and the number of workers. `seat=N` shows in process listings which
+    worker this is; it is not read.
+    """
     channel_fd, table_fd, workers = (int(argument) for argument in sys.argv[1:4])
     gc.freeze()
     uvloop.run(start_worker(socket.socket(fileno=channel_fd), table_fd, workers))
