--- a/starlinggap/benchlink.py
+++ b/starlinggap/benchlink.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, BinaryIO
 
-from starlinggap import interface as i
+from starlinggap import interface
 from starlinggap.brain import Gateway
 
 
@@ -23,31 +23,31 @@
 class Dialect:
     """One wire dialect: layouts are struct formats read at the byte after a record's code."""
 
-    batch: str
-    reply: str
+    batch_format: str
+    reply_format: str
     event_size: int
     action_size: int
-    entry: str
+    entry_format: str
     events: dict[int, tuple[str, str]]
     actions: dict[str, tuple[int, str]]
-    ends: dict[int, i.End]
-    healths: dict[int, i.Health]
-    lists: dict[int, i.ListKind]
-    effects: dict[str, i.Idempotency]
-    groups: dict[str, i.DedupScope]
+    ends: dict[int, interface.End]
+    healths: dict[int, interface.Health]
+    list_kinds: dict[int, interface.ListKind]
+    idempotencies: dict[str, interface.Idempotency]
+    dedup_scopes: dict[str, interface.DedupScope]
     retry_bit: int
-    loads: dict[str, str]
-    load_fields: str
+    load_names: dict[str, str]
+    load_fields_key: str
     settings: dict[str, tuple[str, str]]
-    rows: dict[str, tuple[str, dict[str, tuple[str, str]]]]
+    tables: dict[str, tuple[str, dict[str, tuple[str, str]]]]
 
 
 DIALECT = Dialect(
-    batch="<IIId",
-    reply="<III",
+    batch_format="<IIId",
+    reply_format="<III",
     event_size=48,
     action_size=24,
-    entry="<BBdIHBf",
+    entry_format="<BBdIHBf",
     events={
         12: ("to", "<H"),
         1: ("provision", "<QII"),
@@ -75,21 +75,34 @@
         "WatchList": (73, "<BB22x"),
     },
     ends={
-        100: i.End.OK,
-        301: i.End.ERROR,
-        302: i.End.REJECTED,
-        303: i.End.TIMEOUT,
-        304: i.End.CONNECT_FAILED,
-        305: i.End.RESET,
-        306: i.End.CANCELLED,
-        307: i.End.NOT_SENT,
+        100: interface.End.OK,
+        301: interface.End.ERROR,
+        302: interface.End.REJECTED,
+        303: interface.End.TIMEOUT,
+        304: interface.End.CONNECT_FAILED,
+        305: interface.End.RESET,
+        306: interface.End.CANCELLED,
+        307: interface.End.NOT_SENT,
+    },
+    healths={1: interface.Health.READY, 2: interface.Health.DRAINING, 0: interface.Health.GONE},
+    list_kinds={
+        0: interface.ListKind.CHANGES,
+        1: interface.ListKind.COMPLETE,
+        2: interface.ListKind.CACHED,
+        3: interface.ListKind.FAILED,
+    },
+    idempotencies={
+        "retryable": interface.Idempotency.SAFE,
+        "dedup": interface.Idempotency.KEYED,
+        "fragile": interface.Idempotency.UNSAFE,
+    },
+    dedup_scopes={
+        "all": interface.DedupScope.ALL,
+        "zone": interface.DedupScope.ZONE,
+        "cell": interface.DedupScope.CELL,
     },
-    healths={1: i.Health.READY, 2: i.Health.DRAINING, 0: i.Health.GONE},
-    lists={0: i.ListKind.CHANGES, 1: i.ListKind.COMPLETE, 2: i.ListKind.CACHED, 3: i.ListKind.FAILED},
-    effects={"retryable": i.Idempotency.SAFE, "dedup": i.Idempotency.KEYED, "fragile": i.Idempotency.UNSAFE},
-    groups={"all": i.DedupScope.ALL, "zone": i.DedupScope.ZONE, "cell": i.DedupScope.CELL},
     retry_bit=2,
-    loads={
+    load_names={
         "busy_reqs": "inflight",
         "pending": "queue",
         "cpu_share": "util",
@@ -97,7 +110,7 @@
         "served_ps": "qps",
         "failed_ps": "eps",
     },
-    load_fields="load_info.fields",
+    load_fields_key="load_info.fields",
     settings={
         "gateways": ("balancers", "int"),
         "gateway_index": ("me", "int"),
@@ -122,7 +135,7 @@
         "collapse_ratio": ("invariants.fall_multiple", "float"),
         "cross_zone_price": ("prices.cross_zone", "float"),
     },
-    rows={
+    tables={
         "classes": (
             "classes",
             {
@@ -154,198 +167,219 @@
 )
 
 
-def _value(dialect: Dialect, kind: str, key: str, text: str) -> Any:
-    readers: dict[str, Callable[[str], Any]] = {
-        "int": lambda t: int(float(t)),
+def _parse_value(dialect: Dialect, type_name: str, key: str, text: str) -> Any:
+    parsers: dict[str, Callable[[str], Any]] = {
+        "int": lambda word: int(float(word)),
         "float": float,
-        "bool": lambda t: t.lower() == "true",
-        "effect": dialect.effects.__getitem__,
-        "group": dialect.groups.__getitem__,
-        "on_request": lambda t: t == "on_request",
+        "bool": lambda word: word.lower() == "true",
+        "effect": dialect.idempotencies.__getitem__,
+        "group": dialect.dedup_scopes.__getitem__,
+        "on_request": lambda word: word == "on_request",
     }
     try:
-        return readers[kind](text)
+        return parsers[type_name](text)
     except (KeyError, ValueError, OverflowError):
         raise WireError(f"setting {key} has an unreadable value: {text!r}") from None
 
 
-def read_settings(text: str, dialect: Dialect = DIALECT) -> tuple[i.Settings, list[str]]:
+def read_settings(text: str, dialect: Dialect = DIALECT) -> tuple[interface.Settings, list[str]]:
     """The settings of an instance and the names of its load report's values; unknown keys are skipped."""
-    pairs = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
+    values = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
-    def fields(names: dict[str, tuple[str, str]], prefix: str = "") -> dict[str, Any]:
+    def read_fields(keys: dict[str, tuple[str, str]], prefix: str = "") -> dict[str, Any]:
         return {
-            ours: _value(dialect, kind, prefix + key, pairs[prefix + key])
-            for ours, (key, kind) in names.items()
-            if prefix + key in pairs
+            field_name: _parse_value(dialect, type_name, prefix + key, values[prefix + key])
+            for field_name, (key, type_name) in keys.items()
+            if prefix + key in values
         }
 
-    def rows(name: str, make: Callable[..., Any]) -> tuple[Any, ...]:
-        key, names = dialect.rows[name]
-        many = _value(dialect, "int", key + ".count", pairs.get(key + ".count", "0"))
-        return tuple(make(**fields(names, f"{key}.{n}.")) for n in range(many))
+    def read_table(name: str, row_type: Callable[..., Any]) -> tuple[Any, ...]:
+        key, keys = dialect.tables[name]
+        count = _parse_value(dialect, "int", key + ".count", values.get(key + ".count", "0"))
+        return tuple(row_type(**read_fields(keys, f"{key}.{index}.")) for index in range(count))
 
     try:
-        settings = i.Settings(
-            classes=rows("classes", i.RequestClass), plans=rows("plans", i.Plan), **fields(dialect.settings)
+        settings = interface.Settings(
+            classes=read_table("classes", interface.RequestClass),
+            plans=read_table("plans", interface.Plan),
+            **read_fields(dialect.settings),
         )
     except TypeError as error:
         raise WireError(f"settings are incomplete: {error}") from None
-    names = [n for n in pairs.get(dialect.load_fields, "").split(",") if n]
-    return settings, [dialect.loads.get(n, n) for n in names]
+    load_names = [name for name in values.get(dialect.load_fields_key, "").split(",") if name]
+    return settings, [dialect.load_names.get(name, name) for name in load_names]
 
 
-class Link:
+class Adapter:
     """Hosts the instances of one process and answers batches."""
 
     def __init__(self, dialect: Dialect = DIALECT) -> None:
-        self.d = dialect
+        self.dialect = dialect
         self.gateways: dict[int, Gateway] = {}
-        self.loads: dict[int, list[str]] = {}
+        self.load_names: dict[int, list[str]] = {}
 
-    def _span(self, tail: memoryview, at: int, size: int) -> memoryview:
-        if at + size > len(tail):
+    def _slice(self, tail: memoryview, offset: int, size: int) -> memoryview:
+        if offset + size > len(tail):
             raise WireError("a field points past the tail")
-        return tail[at : at + size]
+        return tail[offset : offset + size]
 
-    def _end(self, code: int) -> i.End:
-        if code not in self.d.ends:
+    def _decode_end(self, code: int) -> interface.End:
+        if code not in self.dialect.ends:
             raise WireError(f"unknown outcome code {code}")
-        return self.d.ends[code]
-
-    def _load(self, who: int, count: int, values: tuple[float, ...]) -> dict[str, float]:
-        return dict(zip(self.loads.get(who, []), values[: min(count, 4)], strict=False))
-
-    def _event(self, who: int, kind: str, f: tuple[Any, ...], tail: memoryview) -> i.Event:
-        if kind == "submit":
-            return i.Request(
-                f[0], f[1], f[2], f[3], f[4], f[5], int(f[6]), int(f[7]), bool(f[8] & self.d.retry_bit)
+        return self.dialect.ends[code]
+
+    def _load_report(self, instance: int, count: int, values: tuple[float, ...]) -> dict[str, float]:
+        return dict(zip(self.load_names.get(instance, []), values[: min(count, 4)], strict=False))
+
+    def _decode_event(
+        self, instance: int, name: str, fields: tuple[Any, ...], tail: memoryview
+    ) -> interface.Event:
+        if name == "submit":
+            return interface.Request(
+                fields[0],
+                fields[1],
+                fields[2],
+                fields[3],
+                fields[4],
+                fields[5],
+                int(fields[6]),
+                int(fields[7]),
+                bool(fields[8] & self.dialect.retry_bit),
+            )
+        if name == "report":
+            return interface.Outcome(
+                fields[0],
+                fields[1],
+                fields[2],
+                self._decode_end(fields[3]),
+                fields[4],
+                bool(fields[5]),
+                (fields[6] - 1) / 100 if fields[6] else None,
+                float(fields[7]) if fields[7] else None,
+                self._load_report(instance, fields[8], fields[9:]),
             )
-        if kind == "report":
-            return i.Outcome(
-                f[0],
-                f[1],
-                f[2],
-                self._end(f[3]),
-                f[4],
-                bool(f[5]),
-                (f[6] - 1) / 100 if f[6] else None,
-                float(f[7]) if f[7] else None,
-                self._load(who, f[8], f[9:]),
+        if name == "sum":
+            return interface.CountOutcome(fields[0], fields[1], self._decode_end(fields[2]), fields[3])
+        if name == "elapsed":
+            return interface.TimerFired(fields[0])
+        if name == "client_gone":
+            return interface.ClientGone(fields[0])
+        if name == "head":
+            return interface.StreamStarted(fields[0], fields[1], fields[3], fields[2])
+        if name == "check":
+            return interface.ProbeOutcome(
+                fields[0],
+                self._decode_end(fields[1]),
+                fields[2],
+                self._load_report(instance, fields[3], fields[4:]),
             )
-        if kind == "sum":
-            return i.CountOutcome(f[0], f[1], self._end(f[2]), f[3])
-        if kind == "elapsed":
-            return i.TimerFired(f[0])
-        if kind == "client_gone":
-            return i.ClientGone(f[0])
-        if kind == "head":
-            return i.StreamStarted(f[0], f[1], f[3], f[2])
-        if kind == "check":
-            return i.ProbeOutcome(f[0], self._end(f[1]), f[2], self._load(who, f[3], f[4:]))
-        if kind == "peer":
-            return i.PeerMessage(f[0], bytes(self._span(tail, f[1], f[2])))
-        size = struct.calcsize(self.d.entry)
-        span = self._span(tail, f[2], f[3] * size)
+        if name == "peer":
+            return interface.PeerMessage(fields[0], bytes(self._slice(tail, fields[1], fields[2])))
+        entry_size = struct.calcsize(self.dialect.entry_format)
+        entry_records = self._slice(tail, fields[2], fields[3] * entry_size)
         entries = []
-        for zone, _, started, server, cell, health, weight in struct.iter_unpack(self.d.entry, span):
-            if health not in self.d.healths:
+        for zone, _, started, server, cell, health, weight in struct.iter_unpack(
+            self.dialect.entry_format, entry_records
+        ):
+            if health not in self.dialect.healths:
                 raise WireError(f"unknown health code {health}")
-            entries.append(i.ServerEntry(server, self.d.healths[health], zone, cell, started, weight))
-        if f[1] not in self.d.lists:
-            raise WireError(f"unknown list mode {f[1]}")
-        return i.ServerList(self.d.lists[f[1]], tuple(entries))
-
-    def _action(self, a: i.Action) -> bytes:
-        code, form = self.d.actions[type(a).__name__]
-        if isinstance(a, i.Send):
-            return struct.pack(form, code, a.request, a.server, a.deadline)
-        if isinstance(a, i.Count):
-            return struct.pack(form, code, a.name, a.amount, a.ttl)
-        if isinstance(a, i.Timer):
-            return struct.pack(form, code, a.at, a.token)
-        if isinstance(a, i.Refuse):
-            return struct.pack(form, code, a.request, a.retry_after)
-        if isinstance(a, i.Cancel):
-            return struct.pack(form, code, a.request, a.attempt)
-        if isinstance(a, i.Fail):
-            return struct.pack(form, code, a.request)
-        if isinstance(a, i.Probe | i.Close):
-            return struct.pack(form, code, a.server)
-        return struct.pack(form, code, 1)
-
-    def answer(self, header: bytes, body: bytes) -> bytes:
+            entries.append(
+                interface.ServerEntry(server, self.dialect.healths[health], zone, cell, started, weight)
+            )
+        if fields[1] not in self.dialect.list_kinds:
+            raise WireError(f"unknown list mode {fields[1]}")
+        return interface.ServerList(self.dialect.list_kinds[fields[1]], tuple(entries))
+
+    def _encode_action(self, action: interface.Action) -> bytes:
+        code, layout = self.dialect.actions[type(action).__name__]
+        if isinstance(action, interface.Send):
+            return struct.pack(layout, code, action.request, action.server, action.deadline)
+        if isinstance(action, interface.Count):
+            return struct.pack(layout, code, action.name, action.amount, action.ttl)
+        if isinstance(action, interface.Timer):
+            return struct.pack(layout, code, action.at, action.token)
+        if isinstance(action, interface.Refuse):
+            return struct.pack(layout, code, action.request, action.retry_after)
+        if isinstance(action, interface.Cancel):
+            return struct.pack(layout, code, action.request, action.attempt)
+        if isinstance(action, interface.Fail):
+            return struct.pack(layout, code, action.request)
+        if isinstance(action, interface.Probe | interface.Close):
+            return struct.pack(layout, code, action.server)
+        return struct.pack(layout, code, 1)
+
+    def answer_batch(self, header: bytes, body: bytes) -> bytes:
         """The reply to one batch."""
-        number, count, _, now = struct.unpack(self.d.batch, header)
-        if count * self.d.event_size > len(body):
+        batch_number, count, _, now = struct.unpack(self.dialect.batch_format, header)
+        if count * self.dialect.event_size > len(body):
             raise WireError("a batch is shorter than its records")
         view = memoryview(body)
-        tail = view[count * self.d.event_size :]
-        out: list[bytes] = []
-        who: int | None = None
-        events: list[i.Event] = []
+        tail = view[count * self.dialect.event_size :]
+        records: list[bytes] = []
+        instance: int | None = None
+        events: list[interface.Event] = []
 
         def flush() -> None:
-            if who is None or not events:
+            if instance is None or not events:
                 return
-            if who not in self.gateways:
-                raise WireError(f"an event for instance {who}, which has not started")
-            actions = self.gateways[who].handle(now, events)
+            if instance not in self.gateways:
+                raise WireError(f"an event for instance {instance}, which has not started")
+            actions = self.gateways[instance].handle(now, events)
             events.clear()
             if actions:
-                code, form = self.d.actions["for"]
-                out.append(struct.pack(form, code, who))
-                out.extend(self._action(a) for a in actions)
+                code, layout = self.dialect.actions["for"]
+                records.append(struct.pack(layout, code, instance))
+                records.extend(self._encode_action(action) for action in actions)
 
-        for at in range(0, count * self.d.event_size, self.d.event_size):
-            code = view[at]
-            if code not in self.d.events:
+        for offset in range(0, count * self.dialect.event_size, self.dialect.event_size):
+            code = view[offset]
+            if code not in self.dialect.events:
                 raise WireError(f"unknown event code {code}")
-            kind, form = self.d.events[code]
-            f = struct.unpack_from(form, view, at + 1)
-            if kind == "to":
+            name, layout = self.dialect.events[code]
+            fields = struct.unpack_from(layout, view, offset + 1)
+            if name == "to":
                 flush()
-                who = f[0]
+                instance = fields[0]
                 continue
-            if who is None:
+            if instance is None:
                 raise WireError("an event before any instance was named")
-            if kind == "provision":
+            if name == "provision":
                 flush()
-                text = bytes(self._span(tail, f[1], f[2])).decode("utf-8", "replace")
-                settings, self.loads[who] = read_settings(text, self.d)
-                self.gateways[who] = Gateway(settings, f[0])
-            elif kind == "shutdown":
+                text = bytes(self._slice(tail, fields[1], fields[2])).decode("utf-8", "replace")
+                settings, self.load_names[instance] = read_settings(text, self.dialect)
+                self.gateways[instance] = Gateway(settings, fields[0])
+            elif name == "shutdown":
                 events.clear()
-                self.gateways.pop(who, None)
-            elif who in self.gateways:
-                events.append(self._event(who, kind, f, tail))
+                self.gateways.pop(instance, None)
+            elif instance in self.gateways:
+                events.append(self._decode_event(instance, name, fields, tail))
             else:
-                raise WireError(f"an event for instance {who}, which has not started")
+                raise WireError(f"an event for instance {instance}, which has not started")
         flush()
-        records = b"".join(out)
-        many = len(records) // self.d.action_size
-        return struct.pack(self.d.reply, number, many, len(records)) + records
+        payload = b"".join(records)
+        action_count = len(payload) // self.dialect.action_size
+        return struct.pack(self.dialect.reply_format, batch_number, action_count, len(payload)) + payload
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answers batches until the source ends."""
-    link = Link()
-    size = struct.calcsize(DIALECT.batch)
+    adapter = Adapter()
+    size = struct.calcsize(DIALECT.batch_format)
     while header := source.read(size):
         if len(header) < size:
             raise WireError("the input ends inside a header")
-        length = struct.unpack(DIALECT.batch, header)[2]
+        length = struct.unpack(DIALECT.batch_format, header)[2]
         body = source.read(length)
         if len(body) < length:
             raise WireError("the input ends inside a batch")
-        sink.write(link.answer(header, body))
+        sink.write(adapter.answer_batch(header, body))
         sink.flush()
 
 
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (WireError, i.SettingsError) as error:
+    except (WireError, interface.SettingsError) as error:
         print(f"benchlink: {error}", file=sys.stderr)
         return 1
     return 0
