--- a/examples/one_gateway.py
+++ b/examples/one_gateway.py
@@ -1,9 +1,10 @@
-"""One request through a gateway: counted, sent and answered, without a bench."""
+"""One request through a gateway: counted, sent and answered, without sockets or the simulator."""
 
 from starlinggap import Gateway, interface
 
 
 def run() -> list[str]:
+    """Returns the steps that the request took, a line each."""
     settings = interface.Settings(
         classes=(interface.RequestClass(aim=0.8, deadline=2.0),),
         plans=(interface.Plan(rate=2.0, burst=8.0),),
@@ -22,7 +23,7 @@
     actions = gateway.handle(
         0.1, [interface.Request(request=1, cls=0, plan=0, account=42, budget=2.0, units=3.0)]
     )
-    totals: dict[int, float] = {}  # stands for the counter service
+    totals: dict[int, float] = {}  # stands in for the shared counter
     while counts := [action for action in actions if isinstance(action, interface.Count)]:
         answers: list[interface.Event] = []
         for count in counts:
--- a/starlinggap/benchlink.py
+++ b/starlinggap/benchlink.py
@@ -1,6 +1,9 @@
-"""The bench's wire on one side, interface.py on the other. It moves values and decides nothing.
+"""The simulator's adapter: translates its binary protocol on stdin and stdout to the types of interface.py.
 
-DIALECT holds every code, offset and key of the wire; another dialect is another table.
+The simulator runs many instances of the gateway in this process. It sends batches; a batch has a header,
+event records of a fixed size and a tail with data of varying length, which records refer to by offset. The
+reply to a batch has a header and action records of a fixed size. DIALECT holds every code, layout and key of
+the protocol, so another version of the protocol needs another table and no other code.
 """
 
 from __future__ import annotations
@@ -16,30 +19,30 @@
 
 
 class WireError(Exception):
-    """A frame or a setting that cannot be read."""
+    """A frame or a setting cannot be decoded."""
 
 
 @dataclass(frozen=True)
 class Dialect:
-    """One wire dialect: layouts are struct formats read at the byte after a record's code."""
-
-    batch_format: str
-    reply_format: str
-    event_size: int
-    action_size: int
-    entry_format: str
-    events: dict[int, tuple[str, str]]
-    actions: dict[str, tuple[int, str]]
+    """Codes, layouts and keys of one version of the protocol. Layouts are formats of the struct module."""
+
+    batch_format: str  # header of a batch: number, count of events, bytes after the header, time (s)
+    reply_format: str  # header of a reply: number of the batch, count of actions, bytes after the header
+    event_size: int  # bytes of an event record
+    action_size: int  # bytes of an action record
+    entry_format: str  # a server in a server list
+    events: dict[int, tuple[str, str]]  # by the record's first byte: name, layout of the bytes after it
+    actions: dict[str, tuple[int, str]]  # by name of the action's class: code, layout of the whole record
     ends: dict[int, interface.End]
     healths: dict[int, interface.Health]
     list_kinds: dict[int, interface.ListKind]
     idempotencies: dict[str, interface.Idempotency]
     dedup_scopes: dict[str, interface.DedupScope]
-    retry_bit: int
-    load_names: dict[str, str]
-    load_fields_key: str
-    settings: dict[str, tuple[str, str]]
-    tables: dict[str, tuple[str, dict[str, tuple[str, str]]]]
+    retry_bit: int  # of a request's flags: the client repeats a request
+    load_names: dict[str, str]  # names of values in a load report: the protocol's, ours
+    load_fields_key: str  # setting that lists the values of a load report in their order
+    settings: dict[str, tuple[str, str]]  # by field of Settings: key, type
+    tables: dict[str, tuple[str, dict[str, tuple[str, str]]]]  # by field of Settings: key, fields of a row
 
 
 DIALECT = Dialect(
@@ -49,21 +52,21 @@
     action_size=24,
     entry_format="<BBdIHBf",
     events={
-        12: ("to", "<H"),
-        1: ("provision", "<QII"),
-        2: ("registry", "<IBII"),
-        3: ("submit", "<QBIQdfffB"),
-        4: ("head", "<QHdI"),
-        8: ("check", "<IHdB4f"),
-        7: ("elapsed", "<Q"),
-        5: ("report", "<QHIHdBHHB4f"),
-        9: ("peer", "<III"),
-        10: ("shutdown", "<"),
-        11: ("sum", "<QdHf"),
+        12: ("to", "<H"),  # the records after it are for this instance
+        1: ("provision", "<QII"),  # start it anew: seed, offset and length of its settings
+        2: ("registry", "<IBII"),  # server list
+        3: ("submit", "<QBIQdfffB"),  # request
+        4: ("head", "<QHdI"),  # first bytes of an answer
+        8: ("check", "<IHdB4f"),  # outcome of a probe
+        7: ("elapsed", "<Q"),  # timer
+        5: ("report", "<QHIHdBHHB4f"),  # outcome of an attempt
+        9: ("peer", "<III"),  # sender, offset and length of its message
+        10: ("shutdown", "<"),  # stop this instance
+        11: ("sum", "<QdHf"),  # outcome of a counter call
         6: ("client_gone", "<Q"),
     },
     actions={
-        "for": (69, "<BH21x"),
+        "for": (69, "<BH21x"),  # the records after it are of this instance
         "Send": (76, "<BQId3x"),
         "Refuse": (75, "<BQd7x"),
         "Fail": (78, "<BQ15x"),
@@ -183,7 +186,11 @@
 
 
 def read_settings(text: str, dialect: Dialect = DIALECT) -> tuple[interface.Settings, list[str]]:
-    """The settings of an instance and the names of its load report's values; unknown keys are skipped."""
+    """Reads `key=value` lines into an instance's settings and the names of its load report's values.
+
+    Unknown keys are skipped; missing ones have the defaults of interface.py. Raises WireError for a value
+    that cannot be read, and where a setting without a default is missing.
+    """
     values = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
     def read_fields(keys: dict[str, tuple[str, str]], prefix: str = "") -> dict[str, Any]:
@@ -211,7 +218,7 @@
 
 
 class Adapter:
-    """Hosts the instances of one process and answers batches."""
+    """Holds the gateways of all instances in this process, by their number, and answers batches."""
 
     def __init__(self, dialect: Dialect = DIALECT) -> None:
         self.dialect = dialect
@@ -220,7 +227,7 @@
 
     def _slice(self, tail: memoryview, offset: int, size: int) -> memoryview:
         if offset + size > len(tail):
-            raise WireError("a field points past the tail")
+            raise WireError("a field points past the end of the batch")
         return tail[offset : offset + size]
 
     def _decode_end(self, code: int) -> interface.End:
@@ -309,7 +316,7 @@
         return struct.pack(layout, code, 1)
 
     def answer_batch(self, header: bytes, body: bytes) -> bytes:
-        """The reply to one batch."""
+        """Handles one batch and returns the reply. Raises WireError where the batch cannot be decoded."""
         batch_number, count, _, now = struct.unpack(self.dialect.batch_format, header)
         if count * self.dialect.event_size > len(body):
             raise WireError("a batch is shorter than its records")
@@ -362,7 +369,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the source ends."""
+    """Answers batches until the source ends. Raises WireError where it ends within a batch."""
     adapter = Adapter()
     size = struct.calcsize(DIALECT.batch_format)
     while header := source.read(size):
@@ -377,6 +384,7 @@
 
 
 def main() -> int:
+    """Serves on stdin and stdout and returns the exit status; an error is one line on stderr."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, interface.SettingsError) as error:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter on golden frames, byte for byte, and on frames that are broken."""
+"""The simulator's adapter: frames compared byte for byte, and broken frames."""
 
 from __future__ import annotations
 
