--- a/tests/test_three_halls.py
+++ b/tests/test_three_halls.py
@@ -1,7 +1,7 @@
-"""A fleet of gateways on the settings of `deploy/three-halls.conf`.
+"""A fleet of gateways in virtual time, with the settings of `deploy/three-halls.conf`.
 
-Keyed and unsafe kinds, a counter that all press together, nodes that are slow all at once, and ingresses that
-restart with nothing but their last list.
+Covers keyed and unsafe classes, a counter overloaded by all gateways together, servers that all slow down at
+once, and ingresses that restart with only the cached server list.
 """
 
 from __future__ import annotations
@@ -28,8 +28,10 @@
 
 
 class Fleet:
-    """Gateways, one counter that bears `counter_capacity` calls a second, and nodes that take 0.15 s,
-    times `slowdown`."""
+    """Three gateways, a shared counter, and servers that need 0.15 s times `slowdown` on average.
+
+    The counter serves `counter_capacity` calls a second; `reset_share` of all attempts end with a reset.
+    """
 
     def __init__(self, counter_capacity: float = 600.0, seed: int = 1, reset_share: float = 0.0) -> None:
         self.rng, self.now, self.counter_capacity, self.reset_share = (
@@ -42,19 +44,17 @@
         self.sequence = self.counter_calls = self.request_count = 0
         self.counter_free_at, self.slowdown = 0.0, 1.0
         self.totals: dict[int, float] = {}
-        self.sent: list[tuple[int, int, int, float]] = []  # request, node, gateway, when
+        self.sent: list[tuple[int, int, int, float]] = []  # request, server, gateway, time
         self.attempts = Counter[int]()
-        self.answers: dict[int, str] = {}  # the final answers
+        self.answers: dict[int, str] = {}  # final answers, by request
         self.requests: dict[int, interface.Request] = {}
-        self.on_refused: Callable[[int, int], None] = lambda gateway, request: (
-            None
-        )  # what a refused client does
+        self.on_refused: Callable[[int, int], None] = lambda gateway, request: None  # gateway, request
         self.gateways = [Gateway(replace(SETTINGS, gateway_index=n, zone=n), seed + n) for n in range(3)]
         for n in range(3):
             self.restart(n, seed + n)
 
     def restart(self, gateway: int, seed: int) -> None:
-        """With nothing but its last list; what was out there is gone with the one before it."""
+        """Restarts a gateway with only its cached server list; its attempts, calls and timers are lost."""
         self.queue = [e for e in self.queue if e[2] != gateway]
         heapq.heapify(self.queue)
         self.gateways[gateway] = Gateway(replace(SETTINGS, gateway_index=gateway, zone=gateway), seed)
@@ -106,7 +106,7 @@
                     self.on_refused(gateway, action.request)
 
     def answer_counter_call(self, gateway: int, action: interface.Count) -> None:
-        """Calls are served in turn; whoever waits too long hears nothing, and it is added all the same."""
+        """Serves calls one after the other. A call that waits too long times out but is still added."""
         self.counter_calls += 1
         self.counter_free_at = max(self.counter_free_at, self.now) + 1 / self.counter_capacity
         self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
@@ -141,9 +141,10 @@
 
 
 def test_unsafe_requests_run_once_even_if_clients_repeat_them_at_another_ingress() -> None:
-    # A client told 429 comes again elsewhere under a new id; nobody there can know what ran here.
+    # A client that gets 429 repeats its request at another ingress under a new id. That ingress cannot know
+    # what ran here, so a request that may have run must not be refused.
     fleet = Fleet(reset_share=0.3)
-    jobs: dict[int, int] = {}  # the client's own job, by request
+    jobs: dict[int, int] = {}  # the client's job behind each request
 
     def repeat_elsewhere(gateway: int, request: int) -> None:
         request_id = 100_000 + len(jobs)
@@ -176,13 +177,13 @@
         rig.finish(interface.End.RESET, took=after)
         servers = [send.server for send in rig.sends]
         assert len(servers) == 1 + repeated and len({server % 3 for server in servers}) == 1
-        # No 429 where it is not sent again: a repeat in another hall would run once more.
+        # Fails instead of 429 where it is not repeated: a client's repeat could run again in another zone.
         assert rig.last() == ("sent" if repeated else "failed")
 
 
 def test_an_overloaded_counter_is_called_less_and_the_quota_still_holds() -> None:
     fleet = Fleet(counter_capacity=60.0)
-    for _ in range(3000):  # 100 a second on a counter that bears 60 calls; 5 accounts ask far beyond
+    for _ in range(3000):  # 100 requests a second, 60 calls a second; 5 accounts far exceed their quota
         fleet.send_request(fleet.rng.randrange(3), fleet.rng.randrange(5) if fleet.rng.random() < 0.5
                   else fleet.rng.randrange(10, 400))  # fmt: skip
         fleet.run_until(fleet.now + 0.01)
@@ -193,7 +194,7 @@
 
 def test_clients_that_repeat_at_once_cost_no_counter_call_for_each_refusal() -> None:
     fleet = Fleet()
-    for _ in range(1000):  # 33 a second, each of 2 units, against RATE units a second
+    for _ in range(1000):  # 33 requests a second of 2 units each, against a quota of RATE
         fleet.send_request(fleet.rng.randrange(3), 1)
         fleet.run_until(fleet.now + 0.03)
     refused = sum(answer == "refused" for answer in fleet.answers.values())
@@ -211,13 +212,13 @@
         assert all(gateway.avoided(fleet.now) == 0 for gateway in fleet.gateways)
     sends = Counter(server for _, server, _, when in fleet.sent if when > 12)
     assert set(sends) == set(range(1, 10)) and max(sends.values()) < 2.5 * min(sends.values())
-    # Answers at a third of the aim shed some: waiting and slow work look alike from here. Most are served.
+    # Answers that take a third of the aim cause some shedding, as a gateway cannot tell queueing from slow work.
     assert list(fleet.answers.values()).count("refused") < 0.4 * 600
 
 
 def test_most_ingresses_restarted_within_seconds_keep_the_quota_and_keep_serving() -> None:
     fleet = Fleet()
-    for n in range(1200):  # one account that asks for ten times its quota, and many that ask little
+    for n in range(1200):  # one account that asks for ten times its quota, and many that ask for little
         if n in (400, 480, 560):
             fleet.restart((n - 400) // 80, n)
         fleet.send_request(n % 3, 1 if n % 2 else n)
