--- a/tests/test_three_halls.py
+++ b/tests/test_three_halls.py
@@ -212,7 +212,7 @@
         assert all(gateway.avoided(fleet.now) == 0 for gateway in fleet.gateways)
     sends = Counter(server for _, server, _, when in fleet.sent if when > 12)
     assert set(sends) == set(range(1, 10)) and max(sends.values()) < 2.5 * min(sends.values())
-    # Answers that take a third of the aim cause some shedding, as a gateway cannot tell queueing from slow work.
+    # Answers that take a third of the aim cause some shedding: a gateway cannot tell queueing from slow work.
     assert list(fleet.answers.values()).count("refused") < 0.4 * 600
 
 
