--- a/tests/reducer_rig.py
+++ b/tests/reducer_rig.py
@@ -8,7 +8,7 @@
 from opalgauge.memory import effects as fx
 from opalgauge.memory import events as ev
 from opalgauge.memory.reducer import Reducer
-from opalgauge.memory.state import House
+from opalgauge.memory.state import IngressConfig
 from starlinggap import interface as i
 
 CHECK, PLACE = 0, 1
@@ -32,19 +32,20 @@
 )
 
 
-def node(number: int, health: i.Health = i.Health.READY, started: float = 0.0) -> ev.StockNode:
-    return ev.StockNode(f"127.0.0.1:{5000 + number}", i.ServerEntry(number, health, started=started))
+def node(number: int, health: i.Health = i.Health.READY, started: float = 0.0) -> ev.ListedServer:
+    return ev.ListedServer(f"127.0.0.1:{5000 + number}", i.ServerEntry(number, health, started=started))
 
 
-def house(nodes: int = 3, **changes: Any) -> House:
+def house(nodes: int = 3, **changes: Any) -> IngressConfig:
     told: dict[str, Any] = {
         "settings": SETTINGS, "seed": 5, "counter_address": "127.0.0.1:6400",
-        "node_list_address": "127.0.0.1:8500", "known_version": 7,
-        "known": tuple(node(n) for n in range(1, nodes + 1)), "dial_timeout": timedelta(milliseconds=250),
-        "idle_limit": timedelta(seconds=9), "counter_timeout": timedelta(milliseconds=80),
-        "most_lines": 400, "most_orders": 400, "most_clients": 400, "crowd": 133,
+        "server_list_address": "127.0.0.1:8500", "known_list_version": 7,
+        "known_servers": tuple(node(n) for n in range(1, nodes + 1)),
+        "dial_timeout": timedelta(milliseconds=250),
+        "server_idle_timeout": timedelta(seconds=9), "counter_timeout": timedelta(milliseconds=80),
+        "max_server_connections": 400, "max_requests": 400, "max_clients": 400, "keep_alive_limit": 133,
     }  # fmt: skip
-    return House(**{**told, **changes})
+    return IngressConfig(**{**told, **changes})
 
 
 class ReducerRig:
@@ -63,32 +64,32 @@
     def pass_time(self, span: timedelta) -> None:
         """Time goes by, with every wake-up on the way."""
         until = self.now + span
-        while self.reducer.due and self.reducer.due[0][0] <= until:
-            self.now = max(self.now, self.reducer.due[0][0])
-            self.step(ev.Woken())
+        while self.reducer.timers and self.reducer.timers[0][0] <= until:
+            self.now = max(self.now, self.reducer.timers[0][0])
+            self.step(ev.WakeUpDue())
         self.now = until
 
     def settle(self) -> None:
         """So long that a connection which has brought an answer may be used again."""
-        self.pass_time(self.reducer.house.settling)
+        self.pass_time(self.reducer.config.reuse_delay)
 
     def bring_up(self) -> None:
         """Every connection asked for comes up."""
         for effect in list(self.out):
-            if isinstance(effect, fx.OpenLine) and effect.line not in self.up:
-                self.up.add(effect.line)
-                self.step(ev.LineUp(effect.line))
+            if isinstance(effect, fx.OpenConnection) and effect.connection_id not in self.up:
+                self.up.add(effect.connection_id)
+                self.step(ev.ConnectionOpened(effect.connection_id))
 
     def bring_up_list(self) -> None:
         """The connection for the node list comes up, and no other."""
         for effect in list(self.out):
-            if isinstance(effect, fx.OpenLine) and effect.party is fx.Party.NODE_LIST:
-                if effect.line not in self.up:
-                    self.up.add(effect.line)
-                    self.step(ev.LineUp(effect.line))
+            if isinstance(effect, fx.OpenConnection) and effect.destination is fx.Destination.SERVER_LIST:
+                if effect.connection_id not in self.up:
+                    self.up.add(effect.connection_id)
+                    self.step(ev.ConnectionOpened(effect.connection_id))
 
     def next_version(self) -> int:
-        return (self.reducer.books.list_version or 0) + 1
+        return (self.reducer.state.list_version or 0) + 1
 
     def order(
         self,
@@ -99,8 +100,10 @@
     ) -> int:
         self.number += 1
         method, target = ("GET", "/stock-check") if kind == CHECK else ("POST", "/place-order")
-        errand = ev.Errand(method, target, f"id-{self.number}", (), b"")
-        self.step(ev.OrderTaken(self.number, errand, kind, 0, account, left, units, 2, 0, False, self.number))
+        errand = ev.HttpRequest(method, target, f"id-{self.number}", (), b"")
+        self.step(
+            ev.RequestReceived(self.number, errand, kind, 0, account, left, units, 2, 0, False, self.number)
+        )
         self.bring_up()
         return self.number
 
@@ -108,7 +111,7 @@
         return [e for e in self.out if isinstance(e, fx.CallCounter)][-1]
 
     def count(self, total: float) -> None:
-        self.step(ev.CounterAnswered(self.counter_call().line, i.End.OK, total, True))
+        self.step(ev.CounterAnswered(self.counter_call().connection_id, i.End.OK, total, True))
         self.bring_up()
 
     def read_last_window(self) -> None:
@@ -125,10 +128,10 @@
     def attempt(self) -> fx.SendAttempt:
         return [e for e in self.out if isinstance(e, fx.SendAttempt)][-1]
 
-    def list_questions(self) -> list[fx.AskNodeList]:
-        return [e for e in self.out if isinstance(e, fx.AskNodeList)]
+    def list_questions(self) -> list[fx.AskServerList]:
+        return [e for e in self.out if isinstance(e, fx.AskServerList)]
 
-    def list_question(self) -> fx.AskNodeList:
+    def list_question(self) -> fx.AskServerList:
         return self.list_questions()[-1]
 
     @property
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -44,7 +44,7 @@
         assert c.answer(False, call.why).startswith(b"400 ") and c.answer(False, call.why).count(b"\n") == 1
 
 
-MARK = ev.MaintMark("s-1", 1, True, START)
+MARK = ev.BanStatus("s-1", 1, True, START)
 
 
 @given(st.integers(0, 200), st.binary(max_size=3))
@@ -57,7 +57,7 @@
 
 
 def test_of_two_processes_words_the_last_one_counts() -> None:
-    later = ev.MaintMark("s-1", 1, False, START + timedelta(seconds=1))
+    later = ev.BanStatus("s-1", 1, False, START + timedelta(seconds=1))
     assert bans.merge([MARK], [later]) == bans.merge([later], [MARK]) == (later,)
 
 
@@ -65,13 +65,13 @@
     said: list[str] = []
     one, other = BanFile(str(tmp_path), said.append), BanFile(str(tmp_path), said.append)
     found = list[ev.Event]()
-    one.keep(fx.KeepMarks((MARK,)))
-    second = ev.MaintMark("s-2", 2, True, START)
-    other.keep(fx.KeepMarks((second,)))
+    one.keep(fx.PersistBans((MARK,)))
+    second = ev.BanStatus("s-2", 2, True, START)
+    other.keep(fx.PersistBans((second,)))
     one.look(found.append)
     one.look(found.append)
-    assert len(found) == 1 and isinstance(found[0], ev.MarksFound)
-    assert {(x.name, x.out) for x in found[0].marks} == {("s-1", True), ("s-2", True)}
+    assert len(found) == 1 and isinstance(found[0], ev.BansReceived)
+    assert {(x.name, x.banned) for x in found[0].bans} == {("s-1", True), ("s-2", True)}
     (tmp_path / NAME).write_bytes(bans.write([MARK])[:-1])
     other.look(found.append)
     assert len(found) == 1 and "no whole record" in said[0]
@@ -82,32 +82,32 @@
 
     def test_a_banned_server_gets_no_attempt_of_any_kind_whatever_the_list_says(self) -> None:
         rig = GatewayRig(decisions(), servers=2)
-        rig.give(i.BanChanged(1, True))
-        rig.give(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(1, i.Health.GONE),)))
-        rig.give(i.ServerList(i.ListKind.COMPLETE, (entry(1, started=0.5), entry(2))))
+        rig.feed(i.BanChanged(1, True))
+        rig.feed(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(1, i.Health.GONE),)))
+        rig.feed(i.ServerList(i.ListKind.COMPLETE, (entry(1, started=0.5), entry(2))))
         for customer in range(30):
-            rig.ask(customer=customer)
+            rig.request(account=customer)
             rig.finish(i.End.REJECTED if customer % 3 == 0 else i.End.OK)
         assert {s.server for s in rig.sends} == {2}
-        assert rig.gateway.avoided(rig.now) == 1
+        assert rig.gateway.count_avoided(rig.now) == 1
 
     def test_with_all_banned_requests_are_refused_at_once_with_advice(self) -> None:
         rig = GatewayRig(decisions(), servers=1)
-        rig.give(i.BanChanged(1, True))
-        assert rig.ask() == "refused" and rig.refusals[-1].retry_after > 0
+        rig.feed(i.BanChanged(1, True))
+        assert rig.request() == "refused" and rig.refusals[-1].retry_after > 0
 
     def test_given_back_it_is_used_next_as_cold_and_without_old_beliefs(self) -> None:
         rig = GatewayRig(decisions(slow_start_duration=16.0, slow_start_share=0.15), servers=12)
-        rig.at(5.0)
-        rig.gateway.servers[3].ill = {0: [1.0, 1e9, 8.0]}
-        rig.give(i.BanChanged(3, True, rig.now))
-        rig.give(i.BanChanged(3, False))
-        rig.ask()
-        assert rig.sends[-1].server == 3 and rig.gateway.avoided(rig.now) == 0
+        rig.advance_to(5.0)
+        rig.gateway.servers[3].failures = {0: [1.0, 1e9, 8.0]}
+        rig.feed(i.BanChanged(3, True, rig.now))
+        rig.feed(i.BanChanged(3, False))
+        rig.request()
+        assert rig.sends[-1].server == 3 and rig.gateway.count_avoided(rig.now) == 0
         rig.finish()
-        assert rig.gateway.coldness(rig.gateway.servers[3]) == pytest.approx(0.15)
+        assert rig.gateway.capacity(rig.gateway.servers[3]) == pytest.approx(0.15)
         for n in range(200):
-            rig.ask(customer=n)
+            rig.request(account=n)
             rig.finish()
         assert 0 < [s.server for s in rig.sends].count(3) < 200 / 12 / 2  # a warm one's part is 200 / 12
 
@@ -116,59 +116,59 @@
     """What the door's calls change, and what is counted."""
 
     def call(self, rig: ReducerRig, name: int, out: bool) -> fx.AnswerStaff:
-        rig.step(ev.MaintAsked(1, f"s-{name}", name, out))
+        rig.step(ev.BanChangeRequested(1, f"s-{name}", name, out))
         return [e for e in rig.out if isinstance(e, fx.AnswerStaff)][-1]
 
     def test_out_twice_and_back_once_is_back_and_the_file_comes_before_the_yes(self) -> None:
         rig = ReducerRig(nodes=2)
-        assert self.call(rig, 1, True).yes and self.call(rig, 1, True).yes
-        kept = [n for n, e in enumerate(rig.out) if isinstance(e, fx.KeepMarks)]
+        assert self.call(rig, 1, True).accepted and self.call(rig, 1, True).accepted
+        kept = [n for n, e in enumerate(rig.out) if isinstance(e, fx.PersistBans)]
         said = [n for n, e in enumerate(rig.out) if isinstance(e, fx.AnswerStaff)]
         assert len(kept) == 1 and kept[0] < said[0]
-        assert rig.reducer.figures().avoided_nodes == 1
-        assert self.call(rig, 1, False).yes and rig.reducer.figures().avoided_nodes == 0
+        assert rig.reducer.status_report().avoided_servers == 1
+        assert self.call(rig, 1, False).accepted and rig.reducer.status_report().avoided_servers == 0
 
     def test_an_unknown_one_is_owed_a_no_and_one_that_is_out_can_always_come_back(self) -> None:
         rig = ReducerRig(nodes=1)
-        assert not self.call(rig, 9, True).yes and not self.call(rig, 9, False).yes
-        assert self.call(rig, 1, False).yes  # in use already
-        assert self.call(rig, 1, True).yes
+        assert not self.call(rig, 9, True).accepted and not self.call(rig, 9, False).accepted
+        assert self.call(rig, 1, False).accepted  # in use already
+        assert self.call(rig, 1, True).accepted
         question = rig.list_question()
-        rig.step(ev.NodeListAnswered(question.line, True, 8, i.ListKind.COMPLETE, (node(2),)))
-        assert self.call(rig, 1, False).yes
+        rig.step(ev.ServerListAnswered(question.connection_id, True, 8, i.ListKind.COMPLETE, (node(2),)))
+        assert self.call(rig, 1, False).accepted
 
     def test_a_node_taken_out_loses_its_idle_connections_and_finishes_what_is_there(self) -> None:
         rig = ReducerRig(nodes=1)
         rig.admit(CHECK)
-        rig.step(ev.NodeAnswered(rig.attempt().line, i.End.OK, True, b""))
+        rig.step(ev.ServerAnswered(rig.attempt().connection_id, i.End.OK, True, b""))
         rig.admit(CHECK)
         rig.admit(PLACE)
-        lines = [e.line for e in rig.out if isinstance(e, fx.SendAttempt)]
-        rig.step(ev.NodeAnswered(lines[1], i.End.OK, True, b""))
+        lines = [e.connection_id for e in rig.out if isinstance(e, fx.SendAttempt)]
+        rig.step(ev.ServerAnswered(lines[1], i.End.OK, True, b""))
         self.call(rig, 1, True)
-        closed = [e.line for e in rig.out if isinstance(e, fx.CloseLine)]
+        closed = [e.connection_id for e in rig.out if isinstance(e, fx.CloseConnection)]
         assert lines[1] in closed and lines[2] not in closed
-        rig.step(ev.NodeAnswered(lines[2], i.End.OK, True, b"done"))
+        rig.step(ev.ServerAnswered(lines[2], i.End.OK, True, b"done"))
         assert rig.answers[-1].status == 200
         rig.admit(PLACE)
         assert rig.answers[-1].status == 429 and rig.answers[-1].retry_after
 
     def test_what_the_other_process_was_told_holds_unless_this_one_was_told_later(self) -> None:
         rig = ReducerRig(nodes=2)
-        rig.step(ev.MarksFound((ev.MaintMark("s-1", 1, True, START),)))
-        assert rig.reducer.figures().avoided_nodes == 1
+        rig.step(ev.BansReceived((ev.BanStatus("s-1", 1, True, START),)))
+        assert rig.reducer.status_report().avoided_servers == 1
         rig.pass_time(timedelta(seconds=1))
         self.call(rig, 1, False)
-        rig.step(ev.MarksFound((ev.MaintMark("s-1", 1, True, START),)))
-        assert rig.reducer.figures().avoided_nodes == 0
+        rig.step(ev.BansReceived((ev.BanStatus("s-1", 1, True, START),)))
+        assert rig.reducer.status_report().avoided_servers == 0
 
     @given(st.lists(st.sampled_from(["check", "place", "serve", "error", "leave", "late", "stale", "cut"]),
                     max_size=40))  # fmt: skip
     @settings(derandomize=True, max_examples=60, deadline=None)
     def test_what_was_taken_is_all_accounted_for(self, steps: list[str]) -> None:
-        rig, taken = ReducerRig(nodes=2, most_orders=6), 0
+        rig, taken = ReducerRig(nodes=2, max_requests=6), 0
         for step in steps:
-            out = [a for a in rig.reducer.books.attempts.values()]
+            out = [a for a in rig.reducer.state.attempts.values()]
             if step in ("check", "place"):
                 taken += 1
                 rig.order(CHECK if step == "check" else PLACE, account=1000 + taken)
@@ -176,19 +176,19 @@
                 rig.read_last_window()
             elif step == "late":
                 rig.pass_time(timedelta(seconds=1))
-            elif step == "leave" and rig.reducer.books.asking:
-                rig.step(ev.ClientLeft(next(iter(rig.reducer.books.asking))))
+            elif step == "leave" and rig.reducer.state.clients_waiting:
+                rig.step(ev.ClientDisconnected(next(iter(rig.reducer.state.clients_waiting))))
             elif out and step == "cut":
-                rig.step(ev.LineEnded(out[0].line, ev.Reached.WRITING))
+                rig.step(ev.ConnectionLost(out[0].connection_id, ev.Progress.WRITING))
             elif out and step == "stale":
-                rig.step(ev.LineStale(out[0].line))
+                rig.step(ev.ConnectionStale(out[0].connection_id))
             elif out and step in ("serve", "error"):
                 end = i.End.OK if step == "serve" else i.End.ERROR
-                rig.step(ev.NodeAnswered(out[0].line, end, True, b""))
+                rig.step(ev.ServerAnswered(out[0].connection_id, end, True, b""))
             rig.bring_up()
-            f, gone = rig.reducer.figures(), rig.reducer.books.tally.gone
-            assert taken == sum(f.passed) + sum(f.dropped) + sum(f.failed) + f.in_progress + gone
-            assert f.tries >= sum(f.passed)
+            f, gone = rig.reducer.status_report(), rig.reducer.state.statistics.abandoned
+            assert taken == sum(f.served) + sum(f.refused) + sum(f.failed) + f.in_progress + gone
+            assert f.attempts >= sum(f.served)
 
 
 def test_the_door_on_the_program() -> None:
--- a/tests/test_three_halls.py
+++ b/tests/test_three_halls.py
@@ -171,14 +171,14 @@
         rig = GatewayRig(
             replace(SETTINGS, use_counter=False, plans=(interface.Plan(),)), servers=0, seed=seed
         )
-        rig.give(interface.ServerList(interface.ListKind.COMPLETE, SERVERS))
-        assert rig.ask(budget=4.0, cls=ORDER) == "sent"
-        rig.at(rig.now + after)
+        rig.feed(interface.ServerList(interface.ListKind.COMPLETE, SERVERS))
+        assert rig.request(budget=4.0, cls=ORDER) == "sent"
+        rig.advance_to(rig.now + after)
         rig.finish(interface.End.RESET, took=after)
         servers = [send.server for send in rig.sends]
         assert len(servers) == 1 + repeated and len({server % 3 for server in servers}) == 1
         # Fails instead of 429 where it is not repeated: a client's repeat could run again in another zone.
-        assert rig.last() == ("sent" if repeated else "failed")
+        assert rig.last_state() == ("sent" if repeated else "failed")
 
 
 def test_an_overloaded_counter_is_called_less_and_the_quota_still_holds() -> None:
@@ -209,7 +209,7 @@
             fleet.slowdown = 2.9
         fleet.send_request(n % 3, n)
         fleet.run_until(fleet.now + 0.03)
-        assert all(gateway.avoided(fleet.now) == 0 for gateway in fleet.gateways)
+        assert all(gateway.count_avoided(fleet.now) == 0 for gateway in fleet.gateways)
     sends = Counter(server for _, server, _, when in fleet.sent if when > 12)
     assert set(sends) == set(range(1, 10)) and max(sends.values()) < 2.5 * min(sends.values())
     # Answers that take a third of the aim cause some shedding: a gateway cannot tell queueing from slow work.
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from opalgauge.lab.zone_simulation import Scenario, ZoneSimulation
-from opalgauge.memory.effects import AttemptSeen
-from opalgauge.memory.sealed import LONGEST
+from opalgauge.memory.effects import ReportAttempt
+from opalgauge.memory.signed_datagram import MAX_DATAGRAM_SIZE
 from opalgauge.zones import messages
 from opalgauge.zones.health import Opinion
 from opalgauge.zones.messages import Message, State, Told
@@ -38,8 +38,8 @@
     def attempt(self, node: int, end: i.End, took: timedelta = 60 * MS) -> None:
         self.number += 1
         zone, key = (node - 1) // self.sizes, (self.number, 0)
-        self.watch.seen(AttemptSeen(key, node, zone, 0), self.now - took)
-        self.watch.seen(AttemptSeen(key, node, zone, 0, end, took), self.now)
+        self.watch.seen(ReportAttempt(key, node, zone, 0), self.now - took)
+        self.watch.seen(ReportAttempt(key, node, zone, 0, end, took), self.now)
 
     def peer(
         self, number: int, *opinions: Opinion, state: State = State.IN, age: timedelta = 0 * MS, good: int = 0
@@ -99,8 +99,8 @@
 
 
 def tried(post: Post, node: int, end: i.End) -> None:
-    post.watch.seen(AttemptSeen((0, node), node, (node - 1) // post.sizes, 0), post.now - 20 * MS)
-    post.watch.seen(AttemptSeen((0, node), node, (node - 1) // post.sizes, 0, end, 20 * MS), post.now)
+    post.watch.seen(ReportAttempt((0, node), node, (node - 1) // post.sizes, 0), post.now - 20 * MS)
+    post.watch.seen(ReportAttempt((0, node), node, (node - 1) // post.sizes, 0, end, 20 * MS), post.now)
 
 
 def test_who_hears_nobody_asks_after_a_zone_that_its_own_requests_no_longer_reach() -> None:
@@ -293,7 +293,7 @@
 ) -> None:
     rows = tuple(Told(o, s, timedelta(milliseconds=age), g, b) for o, s, age, g, b in zones)
     data = messages.write(Message(sender, life, number, rows), b"secret")
-    assert len(data) <= LONGEST
+    assert len(data) <= MAX_DATAGRAM_SIZE
     back = messages.read(data, b"secret")
     assert back is not None and (back.sender, back.life, back.number) == (sender, life, number)
     assert [z.state for z in back.zones] == [z.state for z in rows[: messages.MOST_ZONES]]
@@ -329,32 +329,32 @@
 def halls(**changes: object) -> GatewayRig:
     told = settings(use_counter=False, plans=(i.Plan(),), classes=TWO, allow_cancel=True, **changes)
     rig = GatewayRig(told, servers=0)
-    rig.give(i.ServerList(i.ListKind.COMPLETE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
+    rig.feed(i.ServerList(i.ListKind.COMPLETE, tuple(entry(n, zone=n % 3) for n in range(1, 10))))
     return rig
 
 
 def met(rig: GatewayRig, asks: int, cls: int = 0) -> list[int]:
     before = len(rig.sends)
     for _ in range(asks):
-        rig.at(rig.now + 0.05)
-        assert rig.ask(customer=rig.next, cls=cls) == "sent"
+        rig.advance_to(rig.now + 0.05)
+        assert rig.request(account=rig.request_number, cls=cls) == "sent"
         rig.finish()
     return [s.server % 3 for s in rig.sends[before:]]
 
 
 def test_a_zone_that_is_left_gets_nothing_and_a_returning_one_its_share() -> None:
     rig = halls()
-    rig.give(i.ZoneShare(1, 0.0))
+    rig.feed(i.ZoneShare(1, 0.0))
     assert 1 not in met(rig, 60)
-    rig.give(i.ZoneShare(1, 0.25))
+    rig.feed(i.ZoneShare(1, 0.25))
     assert 0.03 < met(rig, 400).count(1) / 400 < 0.2
-    rig.give(i.ZoneShare(1, 1.0))
+    rig.feed(i.ZoneShare(1, 1.0))
     assert 0.2 < met(rig, 300).count(1) / 300 < 0.5
 
 
 def test_a_trial_takes_one_request_that_may_be_repeated() -> None:
     rig = halls()
-    rig.give(i.ZoneShare(1, 0.0, trial_server=4))
+    rig.feed(i.ZoneShare(1, 0.0, trial_server=4))
     assert 1 not in met(rig, 20, cls=1)
     assert met(rig, 20).count(1) == 1
 
@@ -363,21 +363,21 @@
     rig = halls()
     asked = []
     for n in range(24):
-        assert rig.ask(customer=n, cls=n % 2) == "sent"
-        asked.append((rig.next, n % 2, rig.sends[-1].server % 3))
+        assert rig.request(account=n, cls=n % 2) == "sent"
+        asked.append((rig.request_number, n % 2, rig.sends[-1].server % 3))
     before = len(rig.sends)
     cancelled = [
         a.request for a in rig.gateway.handle(rig.now, [i.ZoneShare(1, 0.0)]) if isinstance(a, i.Cancel)
     ]
     assert cancelled == [r for r, cls, hall in asked if hall == 1 and cls == 0] != []
     server = next(s.server for s in rig.sends if s.request == cancelled[0])
-    rig.give(i.Outcome(cancelled[0], 0, server, i.End.CANCELLED, 0.1))
+    rig.feed(i.Outcome(cancelled[0], 0, server, i.End.CANCELLED, 0.1))
     assert [s.request for s in rig.sends[before:]] == [cancelled[0]] and rig.sends[-1].server % 3 != 1
 
 
 def test_all_zones_left_by_mistake_are_all_in_use() -> None:
     rig = halls()
-    rig.give(*(i.ZoneShare(n, 0.0) for n in range(3)))
+    rig.feed(*(i.ZoneShare(n, 0.0) for n in range(3)))
     assert len(met(rig, 30)) == 30
 
 
