--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 from typing import Any
 
-from starlinggap import interface as i
+from starlinggap import interface
 from starlinggap.brain import EJECT_SHARE, MAX_EJECT_TIME, MIN_EJECT_TIME, Gateway
 from starlinggap.quota import Account
 
@@ -38,10 +38,23 @@
     "unanswered": "loss_share",
 }
 LISTS = {"let_in": "admit_shares", "usual": "usual", "tried": "conn_uses", "lost": "conn_losses"}
-ACCOUNT_FIELDS = ("total", "own_units", "lost_units", "prev_total", "deficit", "others_rate", "assumed_units",
-            "updated_at", "total_at", "denied_until",
-                  "seen_at", "judged", "admitted", "judged_at",
-            "headroom")  # fmt: skip
+ACCOUNT_FIELDS = (
+    "total",
+    "own_units",
+    "lost_units",
+    "prev_total",
+    "deficit",
+    "others_rate",
+    "assumed_units",
+    "updated_at",
+    "total_at",
+    "denied_until",
+    "seen_at",
+    "judged",
+    "admitted",
+    "judged_at",
+    "headroom",
+)
 ACCOUNT_FLAGS = ("prev_known", "stale")
 SERVER_FIELDS = ("time_ratio", "queue_length", "last_ok_at", "returned_at")
 
@@ -52,7 +65,7 @@
 
 def export_state(gateway: Gateway) -> dict[str, Any]:
     plans = list(gateway.settings.plans)
-    customers = list(gateway.accounts.values())[-MAX_ACCOUNTS:]
+    accounts = list(gateway.accounts.values())[-MAX_ACCOUNTS:]
     return {
         "kinds": len(gateway.settings.classes),
         "plans": len(plans),
@@ -60,14 +73,15 @@
         "lists": {key: list(getattr(gateway, name)) for key, name in LISTS.items()},
         "quick": gateway.counter_quick,
         "servers": [
-            [key, server.entry.started, [getattr(server, name) for name in SERVER_FIELDS],
-             [[cls, *ill] for cls, ill in server.failures.items()]]
-            for key, server in gateway.servers.items()
+            [server_id, server.entry.started, [getattr(server, name) for name in SERVER_FIELDS],
+             [[cls, *failure] for cls, failure in server.failures.items()]]
+            for server_id, server in gateway.servers.items()
         ],
         "customers": [
-            [c.id, plans.index(c.plan), c.spread // c.parts, c.parts, c.window,
-             [getattr(c, name) for name in ACCOUNT_FIELDS], [getattr(c, name) for name in ACCOUNT_FLAGS]]
-            for c in customers
+            [account.id, plans.index(account.plan), account.spread // account.parts, account.parts,
+             account.window, [getattr(account, name) for name in ACCOUNT_FIELDS],
+             [getattr(account, name) for name in ACCOUNT_FLAGS]]
+            for account in accounts
         ],
     }  # fmt: skip
 
@@ -75,21 +89,26 @@
 def active_ejections(gateway: Gateway, now: float) -> list[tuple[int, float, int, float]]:
     """Servers that it has ejected by what it saw: server, its start, for which class, until when."""
     return [
-        (key, server.entry.started, cls, ill[1])
-        for key, server in gateway.servers.items()
-        for cls, ill in server.failures.items()
-        if ill[1] > now
+        (server_id, server.entry.started, cls, failure[1])
+        for server_id, server in gateway.servers.items()
+        for cls, failure in server.failures.items()
+        if failure[1] > now
     ]
 
 
-def adopt_ejection(gateway: Gateway, key: int, started: float, cls: int, until: float, now: float) -> None:
+def adopt_ejection(
+    gateway: Gateway, server_id: int, started: float, cls: int, until: float, now: float
+) -> None:
     """Takes over what others found of a server, if it is the same start of it; no longer than it ejects."""
-    server = gateway.servers.get(key)
+    server = gateway.servers.get(server_id)
     if server is None or server.entry.started != started or not 0 <= cls < len(gateway.settings.classes):
         return
-    ill = server.failures.setdefault(cls, [0.0, 0.0, MIN_EJECT_TIME])
+    failure = server.failures.setdefault(cls, [0.0, 0.0, MIN_EJECT_TIME])
     # Just over the edge: its next good answer clears it, its next bad one is believed.
-    ill[0], ill[1] = max(ill[0], EJECT_SHARE * 1.01), max(ill[1], min(until, now + MAX_EJECT_TIME))
+    failure[0], failure[1] = (
+        max(failure[0], EJECT_SHARE * 1.01),
+        max(failure[1], min(until, now + MAX_EJECT_TIME)),
+    )
 
 
 def parse_number(value: Any) -> float:
@@ -101,57 +120,59 @@
 def parse_numbers(values: Any, count: int) -> list[float]:
     if not isinstance(values, list) or len(values) != count:
         raise SnapshotError("not as many values as there should be")
-    return [parse_number(v) for v in values]
+    return [parse_number(value) for value in values]
 
 
-def import_state(gateway: Gateway, told: Any, now: float) -> None:
+def import_state(gateway: Gateway, record: Any, now: float) -> None:
     """Takes over what another gateway of the same settings has learned. Raises SnapshotError."""
     try:
-        if told["kinds"] != len(gateway.settings.classes) or told["plans"] != len(gateway.settings.plans):
+        if record["kinds"] != len(gateway.settings.classes) or record["plans"] != len(gateway.settings.plans):
             raise SnapshotError("of other settings")
-        learned = {name: parse_number(told["learned"][key]) for key, name in LEARNED.items()}
+        learned = {name: parse_number(record["learned"][key]) for key, name in LEARNED.items()}
         lists = {
-            name: parse_numbers(told["lists"][key], len(getattr(gateway, name)))
+            name: parse_numbers(record["lists"][key], len(getattr(gateway, name)))
             for key, name in LISTS.items()
         }
-        quick = bool(told["quick"])
-        known = [_parse_account(gateway, one, now) for one in told["customers"]]
-        servers = [_parse_server(one) for one in told["servers"]]
-    except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as bad:
-        raise SnapshotError(f"{type(bad).__name__}: {bad}") from None
+        quick = bool(record["quick"])
+        imported = [_parse_account(gateway, row, now) for row in record["customers"]]
+        servers = [_parse_server(row) for row in record["servers"]]
+    except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as error:
+        raise SnapshotError(f"{type(error).__name__}: {error}") from None
     for name, value in learned.items():
         setattr(gateway, name, value)
     for name, values in lists.items():
         setattr(gateway, name, values)
     gateway.counter_quick = quick
     # What this one has met by itself is not touched: it knows no less of that.
-    customers = OrderedDict((c.id, c) for c in known)
-    customers.update(gateway.accounts)
-    gateway.accounts = customers
-    for key, started, values, ill in servers:
-        server = gateway.servers.get(key)
+    accounts = OrderedDict((account.id, account) for account in imported)
+    accounts.update(gateway.accounts)
+    gateway.accounts = accounts
+    for server_id, started, values, failures in servers:
+        server = gateway.servers.get(server_id)
         if server is not None and server.entry.started == started:
             server.time_ratio, server.queue_length, server.last_ok_at, server.returned_at = values
-            server.failures = ill
+            server.failures = failures
 
 
-def _parse_account(gateway: Gateway, one: Any, now: float) -> Account:
-    who, plan, spread, parts, window, values, flags = one
-    if not 0 <= plan < len(gateway.settings.plans) or not (spread >= 1 and parts >= 1):
+def _parse_account(gateway: Gateway, row: Any, now: float) -> Account:
+    account_id, plan, gateways, workers, window, values, flags = row
+    if not 0 <= plan < len(gateway.settings.plans) or not (gateways >= 1 and workers >= 1):
         raise SnapshotError("a customer out of range")
-    request = i.Request(0, 0, plan, int(who), 1.0, account_gateways=int(spread), account_workers=int(parts))
-    c = Account(request, gateway.settings.plans[plan], now, 0.0)
+    request = interface.Request(
+        0, 0, plan, int(account_id), 1.0, account_gateways=int(gateways), account_workers=int(workers)
+    )
+    account = Account(request, gateway.settings.plans[plan], now, 0.0)
     for name, value in zip(ACCOUNT_FIELDS, parse_numbers(values, len(ACCOUNT_FIELDS)), strict=True):
-        setattr(c, name, value)
-    c.window, (c.prev_known, c.stale) = int(window), (bool(f) for f in flags)
-    return c
+        setattr(account, name, value)
+    account.window, (account.prev_known, account.stale) = int(window), (bool(flag) for flag in flags)
+    return account
 
 
-def _parse_server(one: Any) -> tuple[int, float, list[float], dict[int, list[float]]]:
-    key, started, values, ill = one
+def _parse_server(row: Any) -> tuple[int, float, list[float], dict[int, list[float]]]:
+    server_id, started, values, failures = row
     return (
-        int(key),
+        int(server_id),
         parse_number(started),
         parse_numbers(values, len(SERVER_FIELDS)),
-        {int(entry[0]): parse_numbers(entry[1:], 3) for entry in ill},
+        {int(failure[0]): parse_numbers(failure[1:], 3) for failure in failures},
     )
