--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -1,8 +1,9 @@
-"""What one gateway has learned, for another that takes its place: plain values, no decisions.
+"""Hands over what one gateway has learned to another of the same settings, as when a process is replaced.
 
-`export_state` gives what json can hold; `import_state` checks it as a whole and changes nothing where any of
-it is no good.
-Debts to the counter stay with the gateway that owes them, and so do requests and attempts.
+`export_state` returns values that JSON can hold. `import_state` checks all of them before it changes a thing.
+Requests, attempts and units not yet added to the counter stay with the gateway that has them.
+
+Ejections can also be exchanged one by one, see `active_ejections` and `adopt_ejection`.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from starlinggap.brain import EJECT_SHARE, MAX_EJECT_TIME, MIN_EJECT_TIME, Gateway
 from starlinggap.quota import Account
 
-MAX_ACCOUNTS = 5000  # customers, those seen last
-# What the gateway itself has learned, of the counter, of load and of the usual times: the record's key and
-# the attribute that it holds.
+MAX_ACCOUNTS = 5000  # in a snapshot; those with the latest requests
+# What the gateway has learned of the counter, of load and of usual times. By key in the record: the attribute
+# of Gateway that is stored there, a number (LEARNED) or a list of numbers (LISTS).
 LEARNED = {
     "born": "started_at",
     "stake": "mean_stake",
@@ -38,6 +39,7 @@
     "unanswered": "loss_share",
 }
 LISTS = {"let_in": "admit_shares", "usual": "usual", "tried": "conn_uses", "lost": "conn_losses"}
+# Attributes of Account and Server. The record has their values without names, in this order.
 ACCOUNT_FIELDS = (
     "total",
     "own_units",
@@ -60,10 +62,11 @@
 
 
 class SnapshotError(Exception):
-    """Not what `export_state` gives, or of other settings."""
+    """The record is not what `export_state` returns, or was made under other settings."""
 
 
 def export_state(gateway: Gateway) -> dict[str, Any]:
+    """Returns a record of what the gateway has learned; it changes nothing."""
     plans = list(gateway.settings.plans)
     accounts = list(gateway.accounts.values())[-MAX_ACCOUNTS:]
     return {
@@ -87,7 +90,10 @@
 
 
 def active_ejections(gateway: Gateway, now: float) -> list[tuple[int, float, int, float]]:
-    """Servers that it has ejected by what it saw: server, its start, for which class, until when."""
+    """Lists the servers that this gateway has ejected: server, its start, the class, the end of the ejection.
+
+    A start is the server's `ServerEntry.started`, and a class an index of `Settings.classes`.
+    """
     return [
         (server_id, server.entry.started, cls, failure[1])
         for server_id, server in gateway.servers.items()
@@ -99,12 +105,15 @@
 def adopt_ejection(
     gateway: Gateway, server_id: int, started: float, cls: int, until: float, now: float
 ) -> None:
-    """Takes over what others found of a server, if it is the same start of it; no longer than it ejects."""
+    """Ejects a server for a class until a time, because another gateway has; at most for MAX_EJECT_TIME.
+
+    Does nothing where no server with this start is listed, or there is no such class.
+    """
     server = gateway.servers.get(server_id)
     if server is None or server.entry.started != started or not 0 <= cls < len(gateway.settings.classes):
         return
     failure = server.failures.setdefault(cls, [0.0, 0.0, MIN_EJECT_TIME])
-    # Just over the edge: its next good answer clears it, its next bad one is believed.
+    # Just above the threshold: one good answer ends the ejection, one error confirms it.
     failure[0], failure[1] = (
         max(failure[0], EJECT_SHARE * 1.01),
         max(failure[1], min(until, now + MAX_EJECT_TIME)),
@@ -112,22 +121,29 @@
 
 
 def parse_number(value: Any) -> float:
+    """Returns the value as a float. Raises SnapshotError for anything but a number, and for NaN."""
     if isinstance(value, bool) or not isinstance(value, int | float) or math.isnan(value):
         raise SnapshotError("not a number")
     return float(value)
 
 
 def parse_numbers(values: Any, count: int) -> list[float]:
+    """Returns the values as floats. Raises SnapshotError for anything but a list of `count` numbers."""
     if not isinstance(values, list) or len(values) != count:
-        raise SnapshotError("not as many values as there should be")
+        raise SnapshotError("wrong number of values")
     return [parse_number(value) for value in values]
 
 
 def import_state(gateway: Gateway, record: Any, now: float) -> None:
-    """Takes over what another gateway of the same settings has learned. Raises SnapshotError."""
+    """Takes over what another gateway of the same settings has learned.
+
+    What this gateway already knows of an account is kept. A server's figures are taken over only if it has
+    not been restarted since. Raises SnapshotError, and changes nothing, where any part of the record is
+    unusable.
+    """
     try:
         if record["kinds"] != len(gateway.settings.classes) or record["plans"] != len(gateway.settings.plans):
-            raise SnapshotError("of other settings")
+            raise SnapshotError("made under other settings")
         learned = {name: parse_number(record["learned"][key]) for key, name in LEARNED.items()}
         lists = {
             name: parse_numbers(record["lists"][key], len(getattr(gateway, name)))
@@ -143,7 +159,7 @@
     for name, values in lists.items():
         setattr(gateway, name, values)
     gateway.counter_quick = quick
-    # What this one has met by itself is not touched: it knows no less of that.
+    # Accounts that this gateway has already seen keep its own figures, which are newer.
     accounts = OrderedDict((account.id, account) for account in imported)
     accounts.update(gateway.accounts)
     gateway.accounts = accounts
@@ -157,7 +173,7 @@
 def _parse_account(gateway: Gateway, row: Any, now: float) -> Account:
     account_id, plan, gateways, workers, window, values, flags = row
     if not 0 <= plan < len(gateway.settings.plans) or not (gateways >= 1 and workers >= 1):
-        raise SnapshotError("a customer out of range")
+        raise SnapshotError("an account's plan, gateways or workers are out of range")
     request = interface.Request(
         0, 0, plan, int(account_id), 1.0, account_gateways=int(gateways), account_workers=int(workers)
     )
