--- a/starlinggap/benchlink.py
+++ b/starlinggap/benchlink.py
@@ -223,7 +223,7 @@
     def __init__(self, dialect: Dialect = DIALECT) -> None:
         self.dialect = dialect
         self.gateways: dict[int, Gateway] = {}
-        self.load_names: dict[int, list[str]] = {}
+        self.load_names: dict[int, list[str]] = {}  # by instance: of the values in a load report, in order
 
     def _slice(self, tail: memoryview, offset: int, size: int) -> memoryview:
         if offset + size > len(tail):
