--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -1,9 +1,6 @@
-"""All decisions of a gateway. The types it speaks are in interface.py.
+"""The decisions of one gateway: quota, choice of servers, load shedding, retries and ejection.
 
-Ordinary path: a request's told units are added to its customer's current-window name on the counter; the
-total before the add, plus the last window's total weighted by what is left of it, is floored; the request
-is admitted when its cost fits the remainder of the quota, else the add is taken back and it is refused.
-"""
+The types are in interface.py; the docstring of the package follows a request through this module."""
 
 from __future__ import annotations
 
@@ -16,10 +13,9 @@
 from starlinggap.quota import MAX_NAME_TTL, TTL_WINDOWS, Account, counter_name, estimate_use, fits
 from starlinggap.slow_start import SlowStart
 
-# --- constants: each is a share of something the settings give, or a plain habit of the field -------------
+# --- constants (times in seconds, unless a share of a setting) -------------------------------------------
 COUNTER_WAIT_SHARE = 0.6  # of counter_timeout: a healthy answer takes a tenth of it, and a client is waiting
-# A counter that is merely busy may be waited for longer, if the wait stays below both of these.
-MAX_COUNTER_WAIT_SHARE, COUNTER_WAIT_AIM_SHARE = 0.95, 0.035  # of counter_timeout; of the class's aim
+MAX_COUNTER_WAIT_SHARE, COUNTER_WAIT_AIM_SHARE = 0.95, 0.035  # of it, of the aim: harmless below both
 QUICK_ANSWER_SHARE = 0.3  # of counter_timeout: quicker answers, or any within twice the least time, show room
 CALL_SHARE_STEP, CALL_SHARE_CUT = 0.03, 0.7  # added by a quick answer; factor after a failed call
 CALL_SHARE_RISE = 0.2  # added per second while the newest is quick: one gateway of many has few answers
@@ -59,101 +55,105 @@
 
 
 class Attempt:
-    """An attempt; `kept`: on a kept connection or a new one, None: a shared one; `is_load`: not overdue."""
+    """One attempt at a server.
+
+    `kept`: on a kept idle connection, or a new one; None: on one in use. `is_load`: timed and not overdue."""
 
     def __init__(self, request: PendingRequest, server: int, at: float, kept: bool | None) -> None:
         self.request, self.server, self.sent_at, self.kept, self.is_load = request, server, at, kept, False
 
 
 class PendingRequest:
-    """A request that still lacks its final answer, or whose attempts are still out."""
+    """A request that still lacks its final answer, or whose attempts are still in flight.
+
+    `cleared`: not shed by overload. `capped`: charged to this gateway's part of the ceiling. `beyond`: over
+    its quota. `ran`: an attempt may have run. `counted`: its units are on the counter; None: not known."""
 
     def __init__(self, event: interface.Request, cls: interface.RequestClass, account: Account,
                  now: float) -> None:  # fmt: skip
         self.id, self.event, self.cls, self.account = event.request, event, cls, account
         self.deadline = now + max(0.0, event.budget)
-        self.aim = min(cls.aim, max(event.budget, HOUSEKEEPING_PERIOD))  # an impatient client wants it sooner
-        # Not for half its time: a refusal that late does harm.
+        self.aim = min(cls.aim, max(event.budget, HOUSEKEEPING_PERIOD))  # lower if its client is less patient
+        # Less than half of the budget: a refusal that late would do harm.
         self.held_until = min(now + HOLD_TIME * min(cls.aim, 0.8 * event.budget),
                               self.deadline - 2 * HOUSEKEEPING_PERIOD)  # fmt: skip
         self.attempts: list[Attempt] = []
-        self.in_flight: dict[int, int] = {}  # attempts out, and where
-        self.ran_at, self.ran_on = math.inf, -1  # first attempt that may have run: its time and server
+        self.in_flight: dict[int, int] = {}  # attempt: server
+        self.ran_at, self.ran_on = math.inf, -1  # when and where the first one was sent that may have run
         self.undecided, self.shed = True, 0.0
         self.cleared = self.capped = self.final = self.beyond = self.sent = self.streaming = self.ran = False
-        self.counted: bool | None = False  # its units on the counter; None: the call is still out
+        self.counted: bool | None = False
         self.cost = event.units if 0 < event.units < math.inf else 1.0
 
 
 class CounterCall:
-    """A counter call that has not been answered. `decided`: the verdict passed without its answer."""
+    """An unanswered counter call. `decided`: whether its request was admitted without it; None: it waits."""
 
     def __init__(self, account: Account, back: int, amount: float, carry: float, req: PendingRequest | None):
         self.account, self.window, self.amount, self.carried = account, account.window - back, amount, carry
-        self.request, self.reads_previous, self.reread = req, back > 0, False  # reread: to read a lost total
+        self.request, self.reads_previous, self.reread = req, back > 0, False  # reread: of a lost total
         self.decided: bool | None = None
 
 
 class Server:
-    """A server as this gateway sees it.
+    """A server as this gateway sees it; all times by the gateway's clock.
 
-    `returned_at`: when staff gave it back, 0: never. `connection_used_at`: when one to it last worked.
-    """
+    `returned_at`: when a ban was lifted, 0: never. `connection_used_at`: when a connection last worked there.
+    `time_ratio`: its time over the usual. `in_flight`: start by request and attempt, infinite: not yet."""
 
     def __init__(self, entry: interface.ServerEntry, now: float, started_at: float,
                  returned_at: float = 0.0) -> None:  # fmt: skip
         self.entry, self.time_ratio, self.returned_at = entry, 1.0, returned_at
         self.started_at = started_at
-        self.failures: dict[int, list[float]] = {}  # by class: share that failed, ejected until, for how long
+        self.failures: dict[int, list[float]] = {}  # by class: failed share, ejected until, next time
         self.in_flight: dict[tuple[int, int], float] = {}
         self.last_ok_at, self.connection_used_at, self.queue_length = now, -math.inf, 0.0
 
 
 class Gateway:
-    """One gateway's decisions: `handle` takes what came in and gives what to do."""
+    """The state and the decisions of one gateway: `handle` takes events and returns actions."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         check_settings(settings)
         self.settings, self.rng = settings, random.Random(seed)
         self.now, self.actions = 0.0, list[Action]()
-        self.started_at = math.inf  # when the first events came: nothing was sent on in this life before
+        self.started_at = math.inf  # of this process: when the first events came
         self.accounts: OrderedDict[int, Account] = OrderedDict()
         self.requests, self.servers = dict[int, PendingRequest](), dict[int, Server]()
-        self.ready: list[int] = []  # in the order of their ids; kept when the list changes
-        self.banned: dict[int, float] = {}  # by staff, and since when: until they say, listed or not
-        self.untried: list[int] = []  # given back by staff, or on trial, and not sent to since
+        self.ready: list[int] = []  # servers that may be chosen, sorted by id
+        self.banned: dict[int, float] = {}  # by staff, since when: until lifted, listed or not
+        self.untried: list[int] = []  # unbanned or on trial, and not sent to since
         self.slow_start = SlowStart(settings)
-        self.zone_shares: dict[int, float] = {}  # of zones that the fleet has left, 0, or returns to
+        self.zone_shares: dict[int, float] = {}  # of zones that the fleet has left (0), or returns to
         self.calls, self.timers = dict[int, deque[CounterCall]](), dict[int, CounterCall | None]()
-        self.last_token, self.mean_stake = 0, 1.0  # the last timer's; see `calls_counter`
-        # Share of requests that ask the counter, as of when; under 1 it is pressed. Whether its newest answer
-        # was quick, and the least time of one lately.
+        self.last_token, self.mean_stake = 0, 1.0  # of timers; of worth * price * units, see `calls_counter`
+        # Share of requests that call the counter, as of when; below 1, the counter is taken as overloaded.
+        # Whether its newest answer was quick, and the least time of a recent one.
         self.call_share, self.call_share_at, self.counter_quick, self.counter_min_time = (
             1.0, 0.0, True, settings.counter_timeout)  # fmt: skip
         self.counter_probe_at = self.call_share_cut_at = self.counts_lost_at = -math.inf
         self.uncounted: dict[int, Account] = {}
-        self.admit_shares = [1.0, 1.0]  # share that totals admitted lately: of first tries, of repeats
-        self.usual = [cls.aim / 5 for cls in settings.classes]  # usual time of a class; learned
+        self.admit_shares = [1.0, 1.0]  # recently admitted by totals: of first tries, of repeats
+        self.usual = [cls.aim / 5 for cls in settings.classes]  # usual time by class (s), learned
         self.retry_budget = MAX_RETRY_BUDGET
-        # Attempts judged lately, and those of them without an answer: on new connections, and on kept ones.
-        self.conn_uses, self.conn_losses = [0.0, 0.0], [0.0, 0.0]
+        self.conn_uses, self.conn_losses = [0.0, 0.0], [0.0, 0.0]  # recent, on new connections, on kept ones
         self.held: OrderedDict[int, PendingRequest] = OrderedDict()
-        self.recent_worths: deque[float] = deque(maxlen=WORTH_SAMPLES)  # worth of what lately was asked
-        # Attempts out and not overdue: number, sums of 1 / aim and of start / aim. Answered lately: number,
-        # sum of time / aim, how many late. Overdue or never answered: number.
+        self.recent_worths: deque[float] = deque(maxlen=WORTH_SAMPLES)  # see `worth_per_time`
+        # Load: attempts in flight and not overdue, their sums of 1 / aim and of start / aim; recent answers,
+        # their sum of time / aim, the late ones among them; recent attempts that are overdue or lost.
         self.in_flight = self.in_flight_aims = self.in_flight_starts = 0.0
         self.answered = self.aim_ratios = self.late = self.overdue = self.shed = self.decayed_at = 0.0
         self.sent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
-        self.mean_aim_ratio, self.loss_share = SHED_START, 0.0  # of the last answers; share lost
+        self.mean_aim_ratio, self.loss_share = SHED_START, 0.0  # of recent answers; lost share
         self.housekeeping_set, self.list_asked_at = False, -math.inf
         self.cold_factor = min(1.0, settings.fall_multiple * COLD_BUDGET_SHARE / WARM_PEAK_LOAD)
 
     # --- events ------------------------------------------------------------------------------------------
     def handle(self, now: float, events: list[interface.Event]) -> list[Action]:
-        """Decides on what happened at `now`; the caller carries the actions out in their order."""
+        """Decides on `events`, which happened at `now`; the caller carries out the actions in their order."""
         self.now, self.actions = max(now, self.now), []
         self.started_at = min(self.started_at, self.now)
-        # What forbids something is heard first: a drain counts from the moment that it was told.
+        # Bans and the server list first: a drain holds for the requests of the same batch too.
         for event in events:
             if isinstance(event, interface.ServerList):
                 self.on_list(event)
@@ -192,6 +192,7 @@
         self.actions.append(interface.Timer(self.now + delay, self.last_token))
 
     def on_timer(self, token: int) -> None:
+        """Housekeeping (no call), or a counter call is late: its request is decided locally."""
         if token not in self.timers:
             return
         call = self.timers.pop(token)
@@ -208,6 +209,7 @@
 
     # --- quota -------------------------------------------------------------------------------------------
     def on_request(self, request: interface.Request) -> None:
+        """Has a new request decided by the counter, or locally where the counter is not to be called."""
         if request.request in self.requests:
             return
         s, account = self.settings, self.accounts.get(request.customer)
@@ -221,23 +223,23 @@
         if request.parts != account.parts:  # its part is split over more cores, or fewer
             account.headroom *= min(1.0, account.parts / request.parts)
             account.spread, account.parts = account.spread // account.parts * request.parts, request.parts
-        if request.held < math.inf:  # guards its ceiling against what another core has spent, not known here
+        if request.held < math.inf:  # other cores may have spent what there was before
             account.headroom = min(account.headroom, plan.ceiling_rate / account.spread * request.held)
         req = self.requests[request.request] = PendingRequest(request, cls, account, self.now)
         self.recent_worths.append(self.worth_per_time(req))
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_RATIO)
-        # One wait for all that the counter is asked, and never most of a client's patience: guards against
-        # an impatient client's try ending unanswered while the counter is slow.
+        # One limit for all counter calls, below half of the budget: an impatient client must get its answer
+        # while the counter is slow.
         longer = min(s.counter_timeout * MAX_COUNTER_WAIT_SHARE, req.aim * COUNTER_WAIT_AIM_SHARE)
         counter_wait = min(max(s.counter_timeout * COUNTER_WAIT_SHARE, longer), request.budget / 2 - s.tick)
         if not account.window_s:
             self.apply_decision(req, True)
         elif (self.call_share < 1 and self.should_shed(req)
               or self.now < account.denied_until and account.deficit + req.cost > account.limit):  # fmt: skip
-            # Guards the counter against what overload sheds, and against who repeats till the store has room.
+            # Spares the counter what overload sheds, and repeats that come before the bucket has room.
             self.apply_decision(req, False)
         elif s.counter and counter_wait > 0 and self.calls_counter(req):
-            # Where a refusal is likely a pressed counter is only read first, which saves a refund.
+            # If a refusal is likely, an overloaded counter is only read first, which saves a refund.
             likely_refused = self.call_share < 1 and self.admit_chance(req) < 0.5
             self.set_timer(counter_wait, self.call_counter(account, 0.0 if likely_refused else req.cost, req))
         else:
@@ -246,8 +248,7 @@
                 self.call_counter(account, 0.0, None)
 
     def calls_counter(self, req: PendingRequest) -> bool:
-        """Whether this request asks: by chance, as large a share as this gateway finds answered in time, and
-        among them sooner those where a wrong verdict costs most."""
+        """Whether to call the counter: with chance `call_share`, a higher one where an error costs more."""
         stake = req.cls.worth * req.account.plan.price * req.cost
         self.mean_stake += EWMA / 2 * (stake - self.mean_stake)
         if self.counter_quick:
@@ -258,7 +259,7 @@
 
     def call_counter(self, account: Account, amount: float, req: PendingRequest | None,
                      back: int = 0) -> CounterCall:  # fmt: skip
-        """Calls the counter for the customer's window, `back` windows ago; what is owed rides along."""
+        """Adds `amount` to the account's total of `back` windows ago; uncounted units are added with it."""
         carried = 0.0 if back else account.uncounted
         account.uncounted -= carried
         call = CounterCall(account, back, amount, carried, req)
@@ -270,20 +271,22 @@
         return call
 
     def count_later(self, account: Account, amount: float, at_once: bool = False) -> None:
+        """Leaves units, or a refund (below 0), to the next counter call; `at_once`: makes that call."""
         if amount and account.window_s and self.settings.counter:
             account.uncounted_since = account.uncounted_since if account.uncounted else self.now
             account.uncounted += amount
             self.uncounted[account.id] = account
-            if at_once and account.uncounted * amount > 0:  # not for units that were never counted
+            if at_once and account.uncounted * amount > 0:  # not for a refund of uncounted units
                 self.call_counter(account, 0.0, None)
 
     def call_failed(self) -> None:
-        """A silent, refusing, crawling or crowded counter is asked for a smaller share, in the end trials."""
+        """Lowers `call_share` when the counter is silent, slow or refuses; in the end it is only probed."""
         if self.now - self.call_share_cut_at > self.settings.counter_timeout * COUNTER_WAIT_SHARE:
             self.call_share_cut_at = self.now
             self.call_share, self.counter_quick = self.call_share * CALL_SHARE_CUT, False
 
     def on_counted(self, event: interface.Counted) -> None:
+        """Takes the answer to a counter call, or its failure, and decides the requests that wait for it."""
         calls = self.calls.get(event.name)
         if not calls:
             return
@@ -294,14 +297,14 @@
         account.advance(self.now)
         total_needed = call.reads_previous or req and req.undecided and call.decided is None
         if event.end in TOTAL_LOST and total_needed and not call.reread:
-            # It was added and nobody heard the total: that is read, as if it were the call's own answer.
+            # The units were added but the total was lost: it is read, in place of the call's own answer.
             call.reread = True
             self.calls.setdefault(event.name, deque()).append(call)
             self.actions.append(interface.Count(
                 event.name, 0.0, min(MAX_NAME_TTL, TTL_WINDOWS * account.window_s)))  # fmt: skip
             return
-        max_drop = 2 * self.settings.most_units * account.spread  # more than refunds in flight can make
-        # A call with no answer is taken as counted, and taken back if its request was refused.
+        max_drop = 2 * self.settings.most_units * account.spread  # more than refunds in flight can explain
+        # A call without an answer is taken as counted, and refunded if its request was refused.
         counted, total = call.reread or event.end not in interface.NEVER_RAN, math.nan
         if event.end is End.OK and math.isfinite(event.total) and event.total >= -max_drop:
             if event.took > self.settings.counter_timeout * COUNTER_WAIT_SHARE:
@@ -314,7 +317,7 @@
                                    if self.counter_quick else self.call_share * CALL_SHARE_SLOW)  # fmt: skip
             total = self.apply_total(account, call, max(0.0, event.total), max_drop)
         else:
-            if event.end not in TOTAL_LOST:  # one answer that is spoilt or broken off is no sign of pressure
+            if event.end not in TOTAL_LOST:  # a garbled or broken answer is no sign of overload
                 self.call_failed()
             if not counted:
                 self.count_later(account, call.carried)
@@ -335,19 +338,19 @@
             self.count_later(account, call.amount if call.decided else -call.amount, at_once=True)
 
     def apply_total(self, account: Account, call: CounterCall, total: float, max_drop: float) -> float:
-        """Takes a total over, and what it says of the others' use."""
+        """Updates the account by a total, and by what it tells of other gateways' use; returns the total."""
         added = call.amount + call.carried
         if call.window == account.window:
             total += account.lost_units
             if total < account.own_units + added - self.settings.most_units:  # less than was added here
                 self.counts_lost_at = self.now
             if total < account.own_units + added - max_drop / 4 or total < account.total + added - max_drop:
-                # The counter forgot: believe the last good total and what was added since. Holds against
-                # any loss of counts; if a refund this large were real, room is missed for one window.
+                # The counter lost counts: the last good total and what was added since are used instead. If a
+                # refund this large was real, quota is withheld for one window.
                 account.lost_units += account.total + added - total
                 total = account.total + added
             others = max(0.0, increase := total - added - account.total)
-            account.headroom -= account.beyond_pays * increase / account.spread  # all bear an equal part
+            account.headroom -= account.beyond_pays * increase / account.spread  # each bears an equal part
             keep = math.exp(-min(self.now - account.total_at, self.now - account.window * account.window_s)
                             / (2 * account.window_s))  # fmt: skip
             account.others_rate = account.others_rate * keep + others / (2 * account.window_s)
@@ -361,24 +364,24 @@
         return total
 
     def check_total(self, req: PendingRequest, before: float) -> None:
-        """The design's test, on the total before the request's own add."""
+        """Decides by the counter: the two-window test on the total before the request's own add."""
         account = req.account
         left, prev = max(0.0, account.window + 1 - self.now / account.window_s), account.prev_total
         needs_prev = self.call_share >= 1 or account.plan.ceiling_rate > 0  # a ceiling relies on totals
-        if not account.prev_known:  # a pressed counter is not read for it: use is taken to be steady
+        if not account.prev_known:  # if overloaded it is not read: use is taken as steady
             prev = max(account.limit, account.prev_total) if needs_prev else account.likely_prev(before, left)
         used = max(0.0, estimate_use(prev, before, left))
         if account.stale or account.deficit > used:
             account.deficit, account.stale = used, False
         if not account.prev_known and needs_prev and not fits(used, account.limit, req.cost):
-            # Only a read of the last window can tell; while the cost fits whatever it held, none is needed.
+            # The last window's total must be read; not needed while the cost fits whatever it held.
             account.waiting.append(req)
             if not account.reading_prev:
                 account.reading_prev = True
                 self.call_counter(account, 0.0, req, back=1)
             return
-        # Exception, full burst after light use: the told store, followed by the same totals, may still hold
-        # what the window's estimate refuses. The floor belongs to that estimate; the store needs none.
+        # Exception for a full burst after light use: the token bucket, fed by the same totals, may still hold
+        # what the two-window estimate refuses. The floor belongs to that estimate; the bucket needs none.
         inside = fits(used, account.limit, req.cost) or req.cost <= account.limit - account.deficit
         keep = math.exp((account.judged_at - self.now) / (3 * DECAY_TIME))
         account.judged, account.admitted, account.judged_at = (
@@ -387,30 +390,30 @@
         self.apply_decision(req, inside, by_total=True)
 
     def decide_locally(self, req: PendingRequest) -> None:
-        """Without the counter: the store as last known, filled by what others were seen to leave."""
+        """Decides without the counter: by the bucket as last known, and the use assumed of others."""
         if req in req.account.waiting:
             req.account.waiting.remove(req)
         account = req.account
         inside = req.cost <= account.limit - account.deficit
-        # A share of the quota below one request is granted by chance, as often as the totals did.
+        # A share of the quota below one request is granted by chance, as often as totals admitted lately.
         chance = self.admit_chance(req) if account.limit / account.spread < req.cost else 1.0
         self.apply_decision(req, inside and self.rng.random() < chance)
 
     def admit_chance(self, req: PendingRequest) -> float:
-        """The share of such requests that totals let in lately: this customer's, else all customers'."""
+        """The share of such requests that totals admitted lately: the account's, else all accounts'."""
         account, keep = req.account, math.exp((req.account.judged_at - self.now) / (3 * DECAY_TIME))
         return (account.admitted * keep + self.admit_shares[req.event.is_retry]) / (account.judged * keep + 1)
 
     def apply_decision(self, req: PendingRequest, inside: bool, by_total: bool = False) -> None:
-        """Inside the quota it is sent; beyond it is sent only where that earns more than it costs."""
+        """Sends what is inside the quota; beyond it, only where that earns more than it costs."""
         account, plan = req.account, req.account.plan
         if plan.open and account.open_attempts >= math.ceil(plan.open / account.spread):
             inside = False
         req.undecided, req.beyond = False, not inside
-        if not inside and by_total:  # chance and overload say nothing of the customer
+        if not inside and by_total:  # chance and overload say nothing about the account
             account.denied_until = self.now + DEFER_WINDOWS * account.window_s
-        # What totals let in is within the quota, so under the ceiling: it needs no part, which may be less
-        # than a request, unless the counter forgot. Parts are for the rest; where beyond pays they bear all.
+        # What a total admits is inside the quota, so under the ceiling: it needs none of this gateway's part,
+        # which may be less than one request, unless counts were lost. If `beyond_pays`, all is charged to it.
         vouched = by_total and inside and self.now - self.counts_lost_at > TTL_WINDOWS * account.window_s
         req.capped = plan.ceiling_rate > 0 and not vouched
         reserve = self.call_share * account.limit if inside else BEYOND_QUOTA_RESERVE * plan.ceiling_burst
@@ -420,7 +423,7 @@
             self.refund(req)
         else:
             account.deficit += req.cost
-            if req.counted is False:  # what was let in without a call rides on the customer's next one
+            if req.counted is False:  # no call was made: the next one adds it
                 req.counted = True
                 self.count_later(account, req.cost, at_once=by_total)
         if (inside or plan.over_worth > plan.over_cost) and (not req.capped or account.headroom >= needed):
@@ -432,13 +435,13 @@
             self.refuse(req)
 
     def refund(self, req: PendingRequest) -> None:
-        """The negative add of a refusal; a call still out is settled when its answer comes."""
+        """Takes back the units of a refused request; a call still out is settled when it is answered."""
         if req.counted:
             req.counted = False
             self.count_later(req.account, -req.cost, at_once=True)
 
     def retry_after(self, req: PendingRequest) -> float:
-        """When the told store holds the cost; the sooner the less is shed, and not all together."""
+        """When the bucket will hold the cost (s); the later the more is shed, and spread out at random."""
         account = req.account
         wait = (max(0.0, account.deficit + req.cost - account.limit) / account.plan.rate
                 if account.window_s else req.cls.aim)  # fmt: skip
@@ -447,6 +450,7 @@
 
     # --- server choice -----------------------------------------------------------------------------------
     def on_list(self, event: interface.ServerList) -> None:
+        """Takes over a server list; a server with a new start begins without a history."""
         if event.kind in (ListKind.WHOLE, ListKind.CACHED):
             listed = {entry.server for entry in event.entries}
             self.servers = {k: v for k, v in self.servers.items() if k in listed}
@@ -462,19 +466,20 @@
         self.update_ready()
 
     def update_ready(self) -> None:
+        """Lists the servers that may be chosen: ready, not banned, not in a zone that the fleet has left."""
         listed_ready = {k for k, v in self.servers.items() if v.entry.health is Health.READY}
         usable = listed_ready - self.banned.keys()
         self.untried = [k for k in self.untried if k in self.servers]
         in_use = {k for k in usable if self.zone_share(self.servers[k]) > 0 or k in self.untried}
-        self.ready = sorted(in_use or usable)  # never all zones are left
+        self.ready = sorted(in_use or usable)  # if all zones are left, all are used
         self.release_held()
 
     def zone_share(self, server: Server) -> float:
-        """What the fleet sends to its zone, of a whole share: 0 where it has left it."""
+        """The fraction of its normal traffic that the fleet sends to the server's zone; 0: it has left it."""
         return self.zone_shares.get(server.entry.zone, 1.0)
 
     def on_zone(self, event: interface.ZoneShare) -> None:
-        """What may be repeated is called off in a zone that is left. A trial takes the next such request."""
+        """Cancels repeatable attempts in a zone that is left. A trial server takes the next such request."""
         self.zone_shares[event.zone] = event.share
         for req in self.requests.values() if event.share <= 0 and self.settings.cancel else ():
             for n, key in req.in_flight.items() if req.cls.effect is Effect.SAFE and not req.final else ():
@@ -486,8 +491,8 @@
         self.update_ready()
 
     def on_ban(self, event: interface.Banned) -> None:
-        """What was believed of it before is dropped. If no start since is listed, it is taken as now: guards
-        a server that was restarted meanwhile against its warm share, as lists tell of it late."""
+        """Bans a server, or lifts its ban and drops its history. With no later start listed, it counts as
+        started now: it may have been restarted meanwhile, and lists tell of that late."""
         if event.out:
             self.banned[event.server] = event.at
         elif (banned_at := self.banned.pop(event.server, None)) is not None:
@@ -498,25 +503,25 @@
         self.update_ready()
 
     def count_avoided(self, now: float) -> int:
-        """How many listed servers get nothing just now: banned, draining, or ejected for some class."""
+        """How many listed servers get nothing now: banned, draining, or ejected for some class."""
         ready = set(self.ready)
         return sum(key not in ready or any(failure[1] > now for failure in server.failures.values())
                    for key, server in self.servers.items())  # fmt: skip
 
     def capacity(self, server: Server) -> float:
-        """The least share of its capacity that a server has by now; 1 when warm. No more than its zone's."""
+        """The share of its capacity that a server can be given now: by slow start and by its zone."""
         return min(self.slow_start_share(server), self.zone_share(server))
 
     def slow_start_share(self, server: Server) -> float:
-        """The same, whatever the fleet sends to its zone."""
+        """The share of its capacity that slow start allows; 1 when warm."""
         return self.slow_start.share(max(server.started_at, server.returned_at), self.now)
 
     def slowness(self, server: Server) -> float:
-        """Its time over the usual, forgotten as it ages: what was seen long ago says little of now."""
+        """Its time over the usual; returns to 1 as the last answer ages, since it says little by then."""
         return 1 + (server.time_ratio - 1) * math.exp((server.last_ok_at - self.now) / DECAY_TIME)
 
     def expected_wait(self, server: Server, req: PendingRequest) -> float:
-        """Expected time at a server: its own pace, what we have out there, and how long that is out."""
+        """Expected time there, relative to the usual: by its speed, queue and our oldest attempt."""
         slow = self.slowness(server)
         if server.in_flight:
             oldest = next(iter(server.in_flight.values()))
@@ -528,18 +533,19 @@
         return slow * (1 + crossing) * (1 + len(server.in_flight) + server.queue_length) / weight
 
     def choose_server(self, req: PendingRequest, avoid: set[int]) -> int | None:
+        """The better of two servers drawn at random that can take the request; None if none can."""
         cls, ready, usual = req.event.cls, self.ready, self.usual[req.event.cls % len(self.usual)]
         if req.ran_on >= 0 and req.cls.effect is Effect.KEYED and req.cls.group is not Group.ALL:
             ready = [k for k in ready if self.same_group(req, k)]
-        # Guards against servers that do less the more they hold; it could refuse where all work is long.
+        # For servers that slow down the more they hold. Drawback: may refuse where all requests take long.
         max_queued = req.cls.aim * QUEUE_AIM_SHARE * (BEYOND_QUOTA_RESERVE if req.beyond else 1.0)
         candidates: list[tuple[int, Server]] = []
-        # Ejected ones, if none is sound: what fails, and is quick to, has room for all that others have not.
+        # Ejected ones only if no other is there: one that fails quickly has room for all that others lack.
         ejected_fit, healthy = list[tuple[int, Server]](), 0
         drawn, cold_first = self.draw_candidates(ready, req)
         for n, key in enumerate(drawn):
             server = self.servers[key]
-            # Guards cold servers: each is sent only what it is drawn first for, never beside another.
+            # A cold server is sent only what it was drawn first for, never as the other of two.
             cold, ejected = self.capacity(server) < 1, server.failures.get(cls, [0.0, 0.0])[1] > self.now
             full = len(server.in_flight) * self.slowness(server) * usual >= max_queued
             if cold and (n or not cold_first) or key in avoid or full:
@@ -554,21 +560,20 @@
             return None
         key, server = min(candidates, key=lambda kv: (self.expected_wait(kv[1], req), kv[0]))
         failure = server.failures.get(req.event.cls)
-        if failure and failure[0] > EJECT_SHARE:  # this is its trial: no other until it has ended
+        if failure and failure[0] > EJECT_SHARE:  # a trial: no other until it has ended
             failure[1] = self.now + failure[2]
         return key
 
     def draw_candidates(self, ready: list[int], req: PendingRequest) -> tuple[list[int], bool]:
-        """Candidates by chance, and whether the first may be a cold one.
+        """Candidates at random, and whether the first may be a cold server.
 
-        A cold server comes first as often, beside a warm one, as its least capacity stands beside a whole
-        one: so all gateways together, many or few, even or not, send it that part of what each warm one gets,
-        however many are cold. By rejection: the cost does not grow with servers.
-        """
+        A cold server is drawn first, compared with a warm one, in proportion to its capacity: so all gateways
+        together, many or few, even or uneven, send it that part of what a warm one gets, however many are
+        cold. By rejection sampling: the cost does not grow with the servers."""
         drawn = self.rng.sample(ready, min(MAX_CANDIDATES, len(ready)))
         drawn.sort(key=lambda k: self.settings.cross_zone_price > 0
                    and self.servers[k].entry.zone != self.settings.zone)  # fmt: skip
-        for key in self.untried:  # guards against a gateway of few requests that would not try it for long
+        for key in self.untried:  # few requests would not reach it for long
             if key in ready and (req.cls.effect is Effect.SAFE or self.zone_share(self.servers[key]) > 0):
                 return [key, *(k for k in drawn if k != key)], True
         for _ in range(MAX_CANDIDATES if drawn else 0):
@@ -576,19 +581,18 @@
             share = self.capacity(self.servers[first])
             if share >= 1 or self.rng.random() < share * self.cold_factor * self.cold_damping(drawn):
                 return [first, *(k for k in drawn if k != first)], True
-        # One of a zone that the fleet has left may be used where all are left, and a cold one is not.
+        # All were rejected. If all zones are left, one there may be used; a cold one may not.
         return drawn, bool(drawn) and self.slow_start_share(self.servers[drawn[0]]) >= 1
 
     def cold_damping(self, drawn: list[int]) -> float:
-        """What is left of a cold server's part where hardly any is warm, by those that were drawn.
+        """Factor on a cold server's part where most of those drawn are cold.
 
-        Guards cold servers that are nearly all there is against the traffic of the warm ones that are not:
-        the less of the whole capacity is there, the more of it falls on each.
-        """
+        The less of the whole capacity is there, the more of the missing servers' traffic falls on each."""
         available = sum(self.slow_start_share(self.servers[k]) for k in drawn) / len(drawn)
         return min(1.0, available / MIN_WARM_SHARE)
 
     def same_group(self, req: PendingRequest, key: int) -> bool:
+        """Whether the server drops repeats together with the one that may have run the request."""
         a, b = self.servers.get(req.ran_on), self.servers.get(key)
         if a is None or b is None:
             return False
@@ -597,7 +601,7 @@
 
     # --- attempts ----------------------------------------------------------------------------------------
     def may_send(self, req: PendingRequest) -> bool:
-        """Whether a further attempt is allowed by effect, window, count and time."""
+        """Whether an attempt is allowed by effect, idempotency window, number of attempts and deadline."""
         if req.final or req.streaming or len(req.attempts) >= self.settings.max_attempts:
             return False
         if self.now >= req.deadline - self.settings.tick:
@@ -607,6 +611,7 @@
         return req.cls.effect is Effect.KEYED and self.now + self.settings.tick < req.ran_at + req.cls.window
 
     def dispatch(self, req: PendingRequest) -> None:
+        """Sends an attempt, holds the request for a while if no server is listed, or gives it up."""
         avoid, account = {a.server for a in req.attempts}, req.account
         allowed = self.may_send(req) and (req.attempts or req.cleared or not self.should_shed(req))
         key = self.choose_server(req, avoid) if allowed else None
@@ -635,7 +640,7 @@
         self.actions.append(interface.Send(req.id, key, req.deadline))
 
     def start_timing(self, req: PendingRequest, attempt: Attempt) -> None:
-        """From here on it is timed, and counts as load."""
+        """From now on the attempt is timed and counts as load; its body, if any, is written."""
         attempt.sent_at, attempt.is_load = self.now, True
         self.sent_attempts[req.event.cls % len(self.sent_attempts)].append(attempt)
         self.in_flight += 1
@@ -643,9 +648,10 @@
         self.in_flight_starts += self.now / req.aim
 
     def use_kept_connection(self, key: int, server: Server) -> bool | None:
-        """Whether the next attempt there uses a kept connection; None where it shares one in use.
-        Guards against connections that died unseen while kept: all servers' are judged together, as one
-        gateway meets each rarely, against new ones, as a jam loses both. Harm: where opening one is dear."""
+        """Whether the next attempt there uses a kept idle connection; None: there is one in use.
+
+        Avoids connections that died unnoticed. Those of all servers are taken together, as one gateway uses
+        each rarely, and compared with new ones, as congestion loses both. Drawback: opening one costs."""
         if server.in_flight or self.now - server.connection_used_at >= self.settings.keeps_open:
             return None if server.in_flight else False
         new, kept = (lost / (tried + 1) for lost, tried in zip(self.conn_losses, self.conn_uses, strict=True))
@@ -655,8 +661,8 @@
         return False
 
     def should_shed(self, req: PendingRequest) -> bool:
-        """Whether overload sheds it, lowest worth first: by time over aim of what was answered lately or is
-        out, at all servers together, mixed with a few calm ones. It rises whatever the cause, and fades."""
+        """Whether overload sheds the request, lowest worth first: by time over aim of recent answers and of
+        attempts in flight, at all servers together, mixed with a few calm ones; whatever the cause is."""
         self.decay()
         age_ratios = self.now * self.in_flight_aims - self.in_flight_starts
         overdue = self.overdue_load()
@@ -671,19 +677,20 @@
             shed -= below / len(self.recent_worths)
         req.cleared = shed <= 0
         if shed > 0:
-            # Guards against shedding on for what was seen long ago: who sheds most sees least that is new.
+            # Keeps old observations from upholding the shedding: the more is shed, the less new is observed.
             self.answered, self.aim_ratios = (
                 self.answered + SHED_WEIGHT, self.aim_ratios + SHED_WEIGHT * SHED_START / 2)  # fmt: skip
         return shed > 0
 
     def overdue_load(self) -> float:
-        """How many of those without an answer count as load: as far as answers are slow too, or hardly come.
-        Guards against shedding for what quick servers lose (dead connections, swallowing): less traffic would
-        not help. Harm: a jam of a few servers among quick ones, where choosing others must do."""
+        """How many lost or overdue attempts count as load: only as far as answers are slow too, or missing.
+
+        Shedding is no help against what quick servers lose (dead connections, swallowed requests). Drawback:
+        a few congested servers among quick ones are left to the choice of servers."""
         return self.overdue * min(1.0, max(2 * self.mean_aim_ratio / SHED_START - 1, self.loss_share**2))
 
     def decay(self) -> None:
-        """What is shed also grows while much ends late: guards against clients that repeat until served."""
+        """Ages the load figures. `shed` grows while many end late: clients may repeat until served."""
         dt, self.decayed_at = self.now - self.decayed_at, self.now
         overdue = self.overdue_load()
         excess = (self.late + overdue) / (self.answered + overdue + PRIOR_OUTCOMES) - LATE_SHARE_TARGET
@@ -700,7 +707,7 @@
                     self.end_attempt(attempt, True)
 
     def end_attempt(self, attempt: Attempt, lost: bool | None) -> None:
-        """Out no more, or overdue (and may end late). `lost` tells of its kind of connection, and of load."""
+        """Takes an ended or overdue attempt out of the load. `lost`: not answered; None: not known."""
         if (kept := attempt.kept) is not None and lost is not None:
             self.conn_uses[kept] += attempt.is_load
             self.conn_losses[kept] = max(0.0, self.conn_losses[kept] + attempt.is_load - (not lost))
@@ -714,10 +721,11 @@
                 self.loss_share += 2 * EWMA * (1 - self.loss_share)
 
     def worth_per_time(self, req: PendingRequest) -> float:
-        """Worth for the time it takes: a class whose work has grown costly goes before one that is quick."""
+        """Worth per second of usual time: a class that now takes long is shed before one that is quick."""
         return req.cls.worth * req.account.plan.price / self.usual[req.event.cls % len(self.usual)]
 
     def on_outcome(self, event: interface.Outcome) -> None:
+        """Takes the end of an attempt: learns, settles units, then closes, retries or gives up."""
         server, req = self.servers.get(event.server), self.requests.get(event.request)
         if server:
             self.record_outcome(server, event, req)
@@ -753,7 +761,7 @@
         if event.final or event.end is End.OK:
             self.close_request(req)
         elif not req.final and not req.in_flight:
-            uses_budget = event.end not in (End.CONNECT_FAILED, End.ERROR)  # signs of load feed no more of it
+            uses_budget = event.end not in (End.CONNECT_FAILED, End.ERROR)  # others may be signs of load
             if (event.end is End.MOOT or uses_budget and self.retry_budget < 1
                     or self.now >= req.deadline - self.settings.tick):  # fmt: skip
                 self.give_up(req)
@@ -765,6 +773,7 @@
         self.release_held()
 
     def record_outcome(self, server: Server, event: interface.Outcome, req: PendingRequest | None) -> None:
+        """Learns a server's speed, and ejects it for a class of which too large a share fails."""
         server.in_flight.pop((event.request, event.attempt), None)
         cls = req.event.cls if req else 0
         if event.end is End.OK:
@@ -782,12 +791,12 @@
             server.time_ratio = min(20.0, server.time_ratio * 1.2)
         if event.end not in (End.ERROR, End.RESET, End.TIMEOUT, End.CONNECT_FAILED):
             return
-        # Guards against learning nothing where each server is met once in many seconds, as by one of forty
-        # gateways: what is met less often within DECAY_TIME is believed sooner, and for longer.
+        # One of forty gateways may use a server once in many seconds: the fewer samples in DECAY_TIME, the
+        # more an error weighs, and the longer the first ejection is.
         samples = max(1.0, self.answered / LOAD_DECAY_TIME * DECAY_TIME / max(1, len(self.ready)))
         step, first = max(ERROR_WEIGHT, RARE_WEIGHT / samples), max(MIN_EJECT_TIME, MAX_EJECT_TIME / samples)
-        # Judged by class: guards against a server that fails, or swallows, one class and serves the others,
-        # and by being quick to fail draws ever more of it. A failed connect speaks for all classes.
+        # By class: a server may fail or swallow one class, serve the others, and attract ever more by failing
+        # quickly. A failed connect counts for all classes.
         weight = {End.TIMEOUT: EWMA, End.CONNECT_FAILED: 1.0}.get(event.end, step)
         for n in range(len(self.usual)) if event.end is End.CONNECT_FAILED else [cls]:
             failure = server.failures.setdefault(n, [0.0, 0.0, first])
@@ -797,8 +806,9 @@
 
     # --- final answers and guards --------------------------------------------------------------------------
     def close_request(self, req: PendingRequest) -> None:
+        """The request has its final answer, or its client has gone."""
         req.final, req.undecided = True, False
-        if self.settings.cancel:  # no answer is wanted any more: the client left
+        if self.settings.cancel:  # no other answer is wanted
             self.actions.extend(interface.Cancel(req.id, n) for n in req.in_flight)
         self.held.pop(req.id, None)
         if not req.sent:
@@ -807,7 +817,7 @@
             self.requests.pop(req.id, None)
 
     def safe_to_refuse(self, req: PendingRequest) -> bool:
-        """A refusal promises that a repeat does no harm."""
+        """Whether repeating the request does no harm, as a refusal promises."""
         if req.ran_on < 0 or req.cls.effect is Effect.SAFE:
             return True
         return req.cls.effect is Effect.KEYED and req.cls.group is Group.ALL
@@ -817,7 +827,8 @@
         self.close_request(req)
 
     def give_up(self, req: PendingRequest) -> None:
-        req.shed = req.shed or 1.0  # nothing could take it: the client is told to wait
+        """No server can take it, or none may: refuses it if a repeat does no harm, else fails it."""
+        req.shed = req.shed or 1.0  # the client is told to wait
         if not req.sent and not req.beyond:
             self.refund(req)
             req.account.deficit = max(0.0, req.account.deficit - req.cost)
@@ -831,7 +842,7 @@
             self.dispatch(self.held.popitem(last=False)[1])
 
     def run_housekeeping(self) -> None:
-        """Housekeeping: held requests, debts that found no ride, customers not seen for long."""
+        """Gives up held requests, counts units that no call has taken along, and drops idle accounts."""
         for req in list(self.held.values()):
             if self.now >= req.held_until:
                 self.held.pop(req.id)
@@ -840,11 +851,11 @@
             account.advance(self.now)
             if not account.uncounted or self.now - account.uncounted_since > DEFER_WINDOWS * account.window_s:
                 del self.uncounted[account.id]
-                if account.uncounted and self.call_share >= 1:  # else it waits for a call, or lapses
+                if account.uncounted and self.call_share >= 1:  # else they wait for a call, or lapse
                     self.call_counter(account, 0.0, None)
         while self.accounts:
             account = next(iter(self.accounts.values()))
-            # All that it was told is over by then, and its part of the ceiling full: a new one is as good.
+            # By then all windows it knows are over and its part of the ceiling is full: a new one is as good.
             if (self.now - account.seen_at < max(ACCOUNT_IDLE_TIME, TTL_WINDOWS * account.window_s)
                     or account.open_attempts or account.waiting):  # fmt: skip
                 break
@@ -852,7 +863,7 @@
 
 
 def check_settings(settings: interface.Settings) -> None:
-    """Refuses settings that cannot be meant, naming the field."""
+    """Raises SettingsError, naming the field, for settings that cannot be used."""
 
     def require(ok: bool, message: str) -> None:
         if not ok:
--- a/starlinggap/slow_start.py
+++ b/starlinggap/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: which share of its capacity a server that has just started can be given.
+"""Slow start: the share of its capacity that a server can be given after its start.
 
-The share grows evenly with its age from a least one to all. The age is a span of real time: neither a list
-that was written by another clock nor a start that is told late makes a server warm before its time.
+The share grows linearly with the server's age, from an initial share to 1. The age is elapsed time: neither a
+list written by another clock nor a start that is announced late makes a server warm too early.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 
 class SlowStart:
-    """The starts that one gateway has heard of."""
+    """The starts of servers that one gateway knows of, and the share that follows from each."""
 
     def __init__(self, settings: Settings) -> None:
         self.duration, self.initial_share = settings.cold, settings.cold_from
-        self.starts: OrderedDict[int, float] = OrderedDict()  # as last listed, also of servers that have gone
-        self.list_seen = False  # a list has come in this life; what it began with may be old
+        self.starts: OrderedDict[int, float] = OrderedDict()  # as last listed, also of servers that are gone
+        self.list_seen = False  # a list came since our start; what we started with may be old
 
     def record(self, entry: ServerEntry, now: float) -> float:
-        """When a server started that is listed from now on under this start; 0: long ago.
+        """Remembers a listed server's start and returns when it was by our clock (s); 0: long ago.
 
-        A start that is told while we serve has just happened, however long ago it seems by our clock; one
-        that lies ahead is no later than when it was told.
+        A start that is announced while we serve has just happened, however long ago it seems by our clock.
+        One that lies in the future is taken as now.
         """
         known = self.starts.get(entry.server)
         self.starts[entry.server] = entry.started
@@ -40,10 +40,11 @@
         return entry.started
 
     def record_list(self, kind: ListKind) -> None:
+        """Notes that a list came: a start that is new from now on is recent, unless it was a cached list."""
         self.list_seen = self.list_seen or kind is not ListKind.CACHED
 
     def share(self, started_at: float, now: float) -> float:
-        """The least share of its capacity that a server has by now which started then; 1 when warm."""
+        """The share of its capacity that a server which started then can be given now; 1 when warm."""
         age = now - started_at
         if started_at <= 0 or age >= self.duration:
             return 1.0
