--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict, deque
 
 from starlinggap import interface
-from starlinggap.interface import Action, Effect, End, Group, Health, ListKind
+from starlinggap.interface import Action, DedupScope, End, Health, Idempotency, ListKind
 from starlinggap.quota import MAX_NAME_TTL, TTL_WINDOWS, Account, counter_name, estimate_use, fits
 from starlinggap.slow_start import SlowStart
 
@@ -146,7 +146,7 @@
         self.sent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
         self.mean_aim_ratio, self.loss_share = SHED_START, 0.0  # of recent answers; lost share
         self.housekeeping_set, self.list_asked_at = False, -math.inf
-        self.cold_factor = min(1.0, settings.fall_multiple * COLD_BUDGET_SHARE / WARM_PEAK_LOAD)
+        self.cold_factor = min(1.0, settings.collapse_ratio * COLD_BUDGET_SHARE / WARM_PEAK_LOAD)
 
     # --- events ------------------------------------------------------------------------------------------
     def handle(self, now: float, events: list[interface.Event]) -> list[Action]:
@@ -157,14 +157,14 @@
         for event in events:
             if isinstance(event, interface.ServerList):
                 self.on_list(event)
-            elif isinstance(event, interface.Banned):
+            elif isinstance(event, interface.BanChanged):
                 self.on_ban(event)
         for event in events:
             if isinstance(event, interface.Request):
                 self.on_request(event)
             elif isinstance(event, interface.Outcome):
                 self.on_outcome(event)
-            elif isinstance(event, interface.Counted):
+            elif isinstance(event, interface.CountOutcome):
                 self.on_counted(event)
             elif isinstance(event, interface.TimerFired):
                 self.on_timer(event.token)
@@ -172,13 +172,14 @@
                 self.on_zone(event)
             elif isinstance(event, interface.ClientGone) and (req := self.requests.get(event.request)):
                 self.close_request(req)
-            elif isinstance(event, interface.Written) and (req := self.requests.get(event.request)):
+            elif isinstance(event, interface.RequestWritten) and (req := self.requests.get(event.request)):
                 if event.attempt in req.in_flight:
                     req.deadline = self.now + req.event.budget
                     self.start_timing(req, req.attempts[event.attempt])
             elif isinstance(event, interface.StreamStarted) and (req := self.requests.get(event.request)):
                 req.streaming = True
-        if self.settings.list_on_request and self.now - self.list_asked_at > self.settings.ask_within / 4:
+        if (self.settings.list_on_request
+                and self.now - self.list_asked_at > self.settings.max_watch_interval / 4):  # fmt: skip
             self.list_asked_at = self.now
             self.actions.append(interface.WatchList())
         if not self.housekeeping_set and (self.held or self.uncounted or self.accounts):
@@ -212,24 +213,25 @@
         """Has a new request decided by the counter, or locally where the counter is not to be called."""
         if request.request in self.requests:
             return
-        s, account = self.settings, self.accounts.get(request.customer)
+        s, account = self.settings, self.accounts.get(request.account)
         cls, plan = s.classes[request.cls % len(s.classes)], s.plans[request.plan % len(s.plans)]
         if account is None:
-            account = self.accounts[request.customer] = Account(
+            account = self.accounts[request.account] = Account(
                 request, plan, self.now, self.now - self.started_at)  # fmt: skip
-        self.accounts.move_to_end(request.customer)
+        self.accounts.move_to_end(request.account)
         account.advance(self.now)
         account.seen_at = self.now
-        if request.parts != account.parts:  # its part is split over more cores, or fewer
-            account.headroom *= min(1.0, account.parts / request.parts)
-            account.spread, account.parts = account.spread // account.parts * request.parts, request.parts
-        if request.held < math.inf:  # other cores may have spent what there was before
-            account.headroom = min(account.headroom, plan.ceiling_rate / account.spread * request.held)
+        if request.account_workers != account.parts:  # its part is split over more cores, or fewer
+            account.headroom *= min(1.0, account.parts / request.account_workers)
+            account.spread, account.parts = (account.spread // account.parts * request.account_workers,
+                                             request.account_workers)  # fmt: skip
+        if request.exclusive_for < math.inf:  # other cores may have spent what there was before
+            account.headroom = min(
+                account.headroom, plan.ceiling_rate / account.spread * request.exclusive_for)  # fmt: skip
         req = self.requests[request.request] = PendingRequest(request, cls, account, self.now)
         self.recent_worths.append(self.worth_per_time(req))
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_RATIO)
-        # One limit for all counter calls, below half of the budget: an impatient client must get its answer
-        # while the counter is slow.
+        # One limit for all counter calls, below half of the budget: no impatient client waits in vain.
         longer = min(s.counter_timeout * MAX_COUNTER_WAIT_SHARE, req.aim * COUNTER_WAIT_AIM_SHARE)
         counter_wait = min(max(s.counter_timeout * COUNTER_WAIT_SHARE, longer), request.budget / 2 - s.tick)
         if not account.window_s:
@@ -238,13 +240,13 @@
               or self.now < account.denied_until and account.deficit + req.cost > account.limit):  # fmt: skip
             # Spares the counter what overload sheds, and repeats that come before the bucket has room.
             self.apply_decision(req, False)
-        elif s.counter and counter_wait > 0 and self.calls_counter(req):
+        elif s.use_counter and counter_wait > 0 and self.calls_counter(req):
             # If a refusal is likely, an overloaded counter is only read first, which saves a refund.
             likely_refused = self.call_share < 1 and self.admit_chance(req) < 0.5
             self.set_timer(counter_wait, self.call_counter(account, 0.0 if likely_refused else req.cost, req))
         else:
             self.decide_locally(req)
-            if s.counter and self.now >= self.counter_probe_at:
+            if s.use_counter and self.now >= self.counter_probe_at:
                 self.call_counter(account, 0.0, None)
 
     def calls_counter(self, req: PendingRequest) -> bool:
@@ -272,7 +274,7 @@
 
     def count_later(self, account: Account, amount: float, at_once: bool = False) -> None:
         """Leaves units, or a refund (below 0), to the next counter call; `at_once`: makes that call."""
-        if amount and account.window_s and self.settings.counter:
+        if amount and account.window_s and self.settings.use_counter:
             account.uncounted_since = account.uncounted_since if account.uncounted else self.now
             account.uncounted += amount
             self.uncounted[account.id] = account
@@ -285,7 +287,7 @@
             self.call_share_cut_at = self.now
             self.call_share, self.counter_quick = self.call_share * CALL_SHARE_CUT, False
 
-    def on_counted(self, event: interface.Counted) -> None:
+    def on_counted(self, event: interface.CountOutcome) -> None:
         """Takes the answer to a counter call, or its failure, and decides the requests that wait for it."""
         calls = self.calls.get(event.name)
         if not calls:
@@ -303,15 +305,15 @@
             self.actions.append(interface.Count(
                 event.name, 0.0, min(MAX_NAME_TTL, TTL_WINDOWS * account.window_s)))  # fmt: skip
             return
-        max_drop = 2 * self.settings.most_units * account.spread  # more than refunds in flight can explain
+        max_drop = 2 * self.settings.max_units * account.spread  # more than refunds in flight can explain
         # A call without an answer is taken as counted, and refunded if its request was refused.
         counted, total = call.reread or event.end not in interface.NEVER_RAN, math.nan
         if event.end is End.OK and math.isfinite(event.total) and event.total >= -max_drop:
-            if event.took > self.settings.counter_timeout * COUNTER_WAIT_SHARE:
+            if event.duration > self.settings.counter_timeout * COUNTER_WAIT_SHARE:
                 self.call_failed()
             else:
-                self.counter_min_time = min(event.took, self.counter_min_time * 1.01)
-                self.counter_quick = event.took < max(self.settings.counter_timeout * QUICK_ANSWER_SHARE,
+                self.counter_min_time = min(event.duration, self.counter_min_time * 1.01)
+                self.counter_quick = event.duration < max(self.settings.counter_timeout * QUICK_ANSWER_SHARE,
                                                       2 * self.counter_min_time)  # fmt: skip
                 self.call_share = (min(1.0, max(MIN_CALL_SHARE, self.call_share + CALL_SHARE_STEP))
                                    if self.counter_quick else self.call_share * CALL_SHARE_SLOW)  # fmt: skip
@@ -342,7 +344,7 @@
         added = call.amount + call.carried
         if call.window == account.window:
             total += account.lost_units
-            if total < account.own_units + added - self.settings.most_units:  # less than was added here
+            if total < account.own_units + added - self.settings.max_units:  # less than was added here
                 self.counts_lost_at = self.now
             if total < account.own_units + added - max_drop / 4 or total < account.total + added - max_drop:
                 # The counter lost counts: the last good total and what was added since are used instead. If a
@@ -451,7 +453,7 @@
     # --- server choice -----------------------------------------------------------------------------------
     def on_list(self, event: interface.ServerList) -> None:
         """Takes over a server list; a server with a new start begins without a history."""
-        if event.kind in (ListKind.WHOLE, ListKind.CACHED):
+        if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
             listed = {entry.server for entry in event.entries}
             self.servers = {k: v for k, v in self.servers.items() if k in listed}
         for entry in event.entries:
@@ -481,19 +483,20 @@
     def on_zone(self, event: interface.ZoneShare) -> None:
         """Cancels repeatable attempts in a zone that is left. A trial server takes the next such request."""
         self.zone_shares[event.zone] = event.share
-        for req in self.requests.values() if event.share <= 0 and self.settings.cancel else ():
-            for n, key in req.in_flight.items() if req.cls.effect is Effect.SAFE and not req.final else ():
+        for req in self.requests.values() if event.share <= 0 and self.settings.allow_cancel else ():
+            for n, key in (req.in_flight.items() if req.cls.idempotency is Idempotency.SAFE
+                           and not req.final else ()):  # fmt: skip
                 if key in self.servers and self.servers[key].entry.zone == event.zone:
                     self.actions.append(interface.Cancel(req.id, n))
-        if (old := self.servers.get(event.trial)) and event.trial not in self.untried:
-            self.servers[event.trial] = Server(old.entry, self.now, old.started_at)
-            self.untried.append(event.trial)
+        if (old := self.servers.get(event.trial_server)) and event.trial_server not in self.untried:
+            self.servers[event.trial_server] = Server(old.entry, self.now, old.started_at)
+            self.untried.append(event.trial_server)
         self.update_ready()
 
-    def on_ban(self, event: interface.Banned) -> None:
+    def on_ban(self, event: interface.BanChanged) -> None:
         """Bans a server, or lifts its ban and drops its history. With no later start listed, it counts as
         started now: it may have been restarted meanwhile, and lists tell of that late."""
-        if event.out:
+        if event.banned:
             self.banned[event.server] = event.at
         elif (banned_at := self.banned.pop(event.server, None)) is not None:
             if old := self.servers.get(event.server):
@@ -513,7 +516,6 @@
         return min(self.slow_start_share(server), self.zone_share(server))
 
     def slow_start_share(self, server: Server) -> float:
-        """The share of its capacity that slow start allows; 1 when warm."""
         return self.slow_start.share(max(server.started_at, server.returned_at), self.now)
 
     def slowness(self, server: Server) -> float:
@@ -527,7 +529,7 @@
             oldest = next(iter(server.in_flight.values()))
             slow = max(slow, (self.now - oldest) / (2 * self.usual[req.event.cls % len(self.usual)]))
         crossing = self.settings.cross_zone_price if server.entry.zone != self.settings.zone else 0.0
-        if self.now - server.connection_used_at >= self.settings.keeps_open:
+        if self.now - server.connection_used_at >= self.settings.idle_timeout:
             slow *= NEW_CONNECTION_FACTOR
         weight = server.entry.weight if server.entry.weight > 0 else 1.0
         return slow * (1 + crossing) * (1 + len(server.in_flight) + server.queue_length) / weight
@@ -535,7 +537,8 @@
     def choose_server(self, req: PendingRequest, avoid: set[int]) -> int | None:
         """The better of two servers drawn at random that can take the request; None if none can."""
         cls, ready, usual = req.event.cls, self.ready, self.usual[req.event.cls % len(self.usual)]
-        if req.ran_on >= 0 and req.cls.effect is Effect.KEYED and req.cls.group is not Group.ALL:
+        if (req.ran_on >= 0 and req.cls.idempotency is Idempotency.KEYED
+                and req.cls.dedup_scope is not DedupScope.ALL):  # fmt: skip
             ready = [k for k in ready if self.same_group(req, k)]
         # For servers that slow down the more they hold. Drawback: may refuse where all requests take long.
         max_queued = req.cls.aim * QUEUE_AIM_SHARE * (BEYOND_QUOTA_RESERVE if req.beyond else 1.0)
@@ -574,7 +577,8 @@
         drawn.sort(key=lambda k: self.settings.cross_zone_price > 0
                    and self.servers[k].entry.zone != self.settings.zone)  # fmt: skip
         for key in self.untried:  # few requests would not reach it for long
-            if key in ready and (req.cls.effect is Effect.SAFE or self.zone_share(self.servers[key]) > 0):
+            if key in ready and (req.cls.idempotency is Idempotency.SAFE
+                                 or self.zone_share(self.servers[key]) > 0):  # fmt: skip
                 return [key, *(k for k in drawn if k != key)], True
         for _ in range(MAX_CANDIDATES if drawn else 0):
             first = self.rng.choice(ready)
@@ -596,7 +600,7 @@
         a, b = self.servers.get(req.ran_on), self.servers.get(key)
         if a is None or b is None:
             return False
-        zone = req.cls.group is Group.ZONE
+        zone = req.cls.dedup_scope is DedupScope.ZONE
         return a.entry.zone == b.entry.zone if zone else a.entry.cell == b.entry.cell
 
     # --- attempts ----------------------------------------------------------------------------------------
@@ -606,9 +610,10 @@
             return False
         if self.now >= req.deadline - self.settings.tick:
             return False
-        if req.ran_on < 0 or req.cls.effect is Effect.SAFE:
+        if req.ran_on < 0 or req.cls.idempotency is Idempotency.SAFE:
             return True
-        return req.cls.effect is Effect.KEYED and self.now + self.settings.tick < req.ran_at + req.cls.window
+        return (req.cls.idempotency is Idempotency.KEYED
+                and self.now + self.settings.tick < req.ran_at + req.cls.dedup_window)  # fmt: skip
 
     def dispatch(self, req: PendingRequest) -> None:
         """Sends an attempt, holds the request for a while if no server is listed, or gives it up."""
@@ -634,8 +639,8 @@
         account.open_attempts += 1
         if req.ran_on < 0:
             req.ran_on, req.ran_at = key, self.now
-        server.in_flight[(req.id, n)] = math.inf if req.event.coming else self.now
-        if not req.event.coming:
+        server.in_flight[(req.id, n)] = math.inf if req.event.body_pending else self.now
+        if not req.event.body_pending:
             self.start_timing(req, attempt)
         self.actions.append(interface.Send(req.id, key, req.deadline))
 
@@ -652,7 +657,7 @@
 
         Avoids connections that died unnoticed. Those of all servers are taken together, as one gateway uses
         each rarely, and compared with new ones, as congestion loses both. Drawback: opening one costs."""
-        if server.in_flight or self.now - server.connection_used_at >= self.settings.keeps_open:
+        if server.in_flight or self.now - server.connection_used_at >= self.settings.idle_timeout:
             return None if server.in_flight else False
         new, kept = (lost / (tried + 1) for lost, tried in zip(self.conn_losses, self.conn_uses, strict=True))
         if kept <= STALE_LOSS_SHARE + 2 * new:
@@ -736,13 +741,13 @@
             attempt, elapsed = req.attempts[event.attempt], self.now - req.attempts[event.attempt].sent_at
             may_be_slow = elapsed < LOST_TIME_FACTOR * self.usual[req.event.cls % len(self.usual)]
             lost = event.end is End.RESET or event.end in (End.TIMEOUT, End.CANCELLED) and not may_be_slow
-            answered = event.end in (End.OK, End.ERROR, End.FULL)
+            answered = event.end in (End.OK, End.ERROR, End.REJECTED)
             if server:
                 server.connection_used_at = self.now if answered else -math.inf
             self.decay()
             self.end_attempt(attempt, lost if lost or answered else None)
-            if not lost and event.end in (End.OK, End.FULL, End.TIMEOUT, End.CANCELLED):
-                aim_ratio = max(elapsed / req.aim, float(event.end in (End.FULL, End.TIMEOUT)))
+            if not lost and event.end in (End.OK, End.REJECTED, End.TIMEOUT, End.CANCELLED):
+                aim_ratio = max(elapsed / req.aim, float(event.end in (End.REJECTED, End.TIMEOUT)))
                 self.answered, self.aim_ratios = self.answered + 1, self.aim_ratios + aim_ratio
                 self.late += aim_ratio >= 1
                 self.mean_aim_ratio += 2 * EWMA * (min(1.0, aim_ratio) - self.mean_aim_ratio)
@@ -751,7 +756,7 @@
         if not req.ran and not req.in_flight:
             req.ran_on, req.ran_at = -1, math.inf
         account = req.account
-        if event.end is End.OK and event.true_units and not req.beyond and self.settings.settles:
+        if event.end is End.OK and event.true_units and not req.beyond and self.settings.charge_true_units:
             difference = event.true_units - req.cost
             if account.window_s:
                 account.advance(self.now)
@@ -762,7 +767,7 @@
             self.close_request(req)
         elif not req.final and not req.in_flight:
             uses_budget = event.end not in (End.CONNECT_FAILED, End.ERROR)  # others may be signs of load
-            if (event.end is End.MOOT or uses_budget and self.retry_budget < 1
+            if (event.end is End.NOT_SENT or uses_budget and self.retry_budget < 1
                     or self.now >= req.deadline - self.settings.tick):  # fmt: skip
                 self.give_up(req)
             else:
@@ -782,12 +787,13 @@
                 server.queue_length = min(max(0.0, queue_length), 20.0)
             if req:
                 n = cls % len(self.usual)
-                server.time_ratio += 2 * EWMA * (min(20.0, event.took / self.usual[n]) - server.time_ratio)
-                self.usual[n] += EWMA / 10 * (min(event.took, 4 * self.usual[n]) - self.usual[n])
+                server.time_ratio += 2 * EWMA * (
+                    min(20.0, event.duration / self.usual[n]) - server.time_ratio)  # fmt: skip
+                self.usual[n] += EWMA / 10 * (min(event.duration, 4 * self.usual[n]) - self.usual[n])
             if cls in server.failures:
                 server.failures[cls] = [min(EJECT_SHARE, server.failures[cls][0] * (1 - ERROR_WEIGHT)),
                                         0.0, MIN_EJECT_TIME]  # fmt: skip
-        elif event.end in (End.TIMEOUT, End.FULL):
+        elif event.end in (End.TIMEOUT, End.REJECTED):
             server.time_ratio = min(20.0, server.time_ratio * 1.2)
         if event.end not in (End.ERROR, End.RESET, End.TIMEOUT, End.CONNECT_FAILED):
             return
@@ -808,7 +814,7 @@
     def close_request(self, req: PendingRequest) -> None:
         """The request has its final answer, or its client has gone."""
         req.final, req.undecided = True, False
-        if self.settings.cancel:  # no other answer is wanted
+        if self.settings.allow_cancel:  # no other answer is wanted
             self.actions.extend(interface.Cancel(req.id, n) for n in req.in_flight)
         self.held.pop(req.id, None)
         if not req.sent:
@@ -818,9 +824,9 @@
 
     def safe_to_refuse(self, req: PendingRequest) -> bool:
         """Whether repeating the request does no harm, as a refusal promises."""
-        if req.ran_on < 0 or req.cls.effect is Effect.SAFE:
+        if req.ran_on < 0 or req.cls.idempotency is Idempotency.SAFE:
             return True
-        return req.cls.effect is Effect.KEYED and req.cls.group is Group.ALL
+        return req.cls.idempotency is Idempotency.KEYED and req.cls.dedup_scope is DedupScope.ALL
 
     def refuse(self, req: PendingRequest) -> None:
         self.actions.append(interface.Refuse(req.id, self.retry_after(req)))
@@ -875,7 +881,7 @@
     for n, cls in enumerate(settings.classes):
         require(cls.aim > 0, f"classes[{n}].aim: must be above 0")
         require(cls.deadline > 0, f"classes[{n}].deadline: must be above 0")
-        require(isinstance(cls.effect, Effect), f"classes[{n}].effect: unknown effect")
+        require(isinstance(cls.idempotency, Idempotency), f"classes[{n}].effect: unknown effect")
     for n, plan in enumerate(settings.plans):
         for name in ("rate", "burst", "open", "ceiling_rate", "ceiling_burst", "ceiling_slack"):
             require(0 <= getattr(plan, name) < math.inf, f"plans[{n}].{name}: must be 0 or more")
--- a/starlinggap/slow_start.py
+++ b/starlinggap/slow_start.py
@@ -17,7 +17,7 @@
     """The starts of servers that one gateway knows of, and the share that follows from each."""
 
     def __init__(self, settings: Settings) -> None:
-        self.duration, self.initial_share = settings.cold, settings.cold_from
+        self.duration, self.initial_share = settings.slow_start_duration, settings.slow_start_share
         self.starts: OrderedDict[int, float] = OrderedDict()  # as last listed, also of servers that are gone
         self.list_seen = False  # a list came since our start; what we started with may be old
 
--- a/tests/gateway_rig.py
+++ b/tests/gateway_rig.py
@@ -13,9 +13,9 @@
         classes=(interface.RequestClass(aim=0.8, deadline=2.0),),
         plans=(interface.Plan(rate=2.0, burst=8.0),),
         gateways=2,
-        counter=True,
+        use_counter=True,
         counter_timeout=0.05,
-        most_units=4.0,
+        max_units=4.0,
     )
     return replace(base, **changes)  # type: ignore[arg-type]
 
@@ -43,7 +43,7 @@
         self.states: dict[int, str] = {}
         self.attempts: dict[int, int] = {}
         self.feed(
-            interface.ServerList(interface.ListKind.WHOLE, tuple(entry(n) for n in range(1, servers + 1)))
+            interface.ServerList(interface.ListKind.COMPLETE, tuple(entry(n) for n in range(1, servers + 1)))
         )
 
     def feed(self, *events: interface.Event) -> None:
@@ -73,9 +73,9 @@
                 pending = [self.answer(call) for call in self.open_calls]
                 self.open_calls = []
 
-    def answer(self, call: interface.Count) -> interface.Counted:
+    def answer(self, call: interface.Count) -> interface.CountOutcome:
         self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
-        return interface.Counted(call.name, 0.001, interface.End.OK, self.totals[call.name])
+        return interface.CountOutcome(call.name, 0.001, interface.End.OK, self.totals[call.name])
 
     def answer_all(self, total: float | None) -> None:
         """Late answers to all calls out: true ones, or the same wrong total."""
@@ -84,7 +84,7 @@
             self.feed(
                 self.answer(call)
                 if total is None
-                else interface.Counted(call.name, 0.04, interface.End.OK, total)
+                else interface.CountOutcome(call.name, 0.04, interface.End.OK, total)
             )
 
     def advance_to(self, now: float) -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -14,14 +14,14 @@
 
 SOURCE = Path(starlinggap.__file__).with_name("brain.py").read_text()
 
-EFFECT = "return req.cls.effect is Effect.KEYED and "
+KEYED = "req.cls.idempotency is Idempotency.KEYED"
 GUARDS = {
     "drain": ("if v.entry.health is Health.READY}", "}", "drains"),
     "ban": ("listed_ready - self.banned.keys()", "listed_ready", "staff"),
-    "unsafe repeat": (EFFECT + "self.now + self.settings.tick", "return self.now", "unsafe"),
-    "window": ("< req.ran_at + req.cls.window", "< math.inf", "after the window"),
+    "unsafe repeat": (KEYED + "\n                and self.now + self.settings.tick", "self.now", "unsafe"),
+    "window": ("< req.ran_at + req.cls.dedup_window", "< math.inf", "after the window"),
     "group": ("ready = [k for k in ready if self.same_group(req, k)]", "pass", "sent again outside the"),
-    "refusal": (EFFECT + "req.cls.group is Group.ALL", "return True", "refused"),
+    "refusal": (KEYED + " and req.cls.dedup_scope is DedupScope.ALL", "True", "refused"),
     "ceiling": ("(not req.capped or account.headroom >= needed)", "True", "ceiling"),
     "patience": ("request.budget / 2 - s.tick", "1.0", "overdue"),
 }
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -111,17 +111,17 @@
             old.finish(i.End.ERROR if n == 7 else i.End.OK)
     old.gateway.call_share = 0.4
     new = GatewayRig(settings(), servers=3, seed=2)
-    told = json.loads(json.dumps(snapshot.take(old.gateway)))
-    snapshot.give(new.gateway, told, old.now)
-    assert snapshot.take(new.gateway) == told and new.gateway.call_share == 0.4
+    told = json.loads(json.dumps(snapshot.export_state(old.gateway)))
+    snapshot.import_state(new.gateway, told, old.now)
+    assert snapshot.export_state(new.gateway) == told and new.gateway.call_share == 0.4
     assert new.gateway.accounts[1].deficit > 0
     spoils: list[dict[str, object]] = [{"plans": 9}, {"customers": [[1]]}, {"learned": {}}, {"servers": 3}]
     for spoil in spoils:
         fresh = GatewayRig(settings(), servers=3)
-        before = snapshot.take(fresh.gateway)
-        with pytest.raises(snapshot.Unusable):
-            snapshot.give(fresh.gateway, {**told, **spoil}, old.now)
-        assert snapshot.take(fresh.gateway) == before
+        before = snapshot.export_state(fresh.gateway)
+        with pytest.raises(snapshot.SnapshotError):
+            snapshot.import_state(fresh.gateway, {**told, **spoil}, old.now)
+        assert snapshot.export_state(fresh.gateway) == before
 
 
 @given(st.integers(0, 400), st.binary(max_size=4))
@@ -163,7 +163,7 @@
     for processes, parts in ((1, 1), (2, 2), (1, 1)):
         rig.step(ev.ProcessesSeen(processes))
         rig.order(CHECK)
-        assert [e for e in heard if isinstance(e, i.Request)][-1].parts == parts
+        assert [e for e in heard if isinstance(e, i.Request)][-1].account_workers == parts
 
 
 def test_the_link_hands_over_and_tells_who_lives(tmp_path: Path) -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -36,7 +36,7 @@
 
 
 def test_true_units_are_settled_on_the_count() -> None:
-    rig = GatewayRig(settings(settles=True))
+    rig = GatewayRig(settings(charge_true_units=True))
     assert rig.request(units=2.0) == "sent"
     rig.finish(true_units=4.0)
     rig.advance_to(rig.now + 2.0)
@@ -110,7 +110,7 @@
     rig.request(units=2.0)
     call = rig.open_calls.pop()
     rig.totals[call.name] = before + call.amount
-    rig.feed(interface.Counted(call.name, 0.001, end))
+    rig.feed(interface.CountOutcome(call.name, 0.001, end))
     assert [c.amount for c in rig.open_calls] == [0.0]
     rig.answering = True
     rig.feed(rig.answer(rig.open_calls.pop()))
@@ -123,7 +123,7 @@
     rig = GatewayRig(settings(), answering=False)
     rig.request(units=2.0)
     for _ in range(2):
-        rig.feed(interface.Counted(rig.open_calls.pop().name, 0.001, interface.End.ERROR))
+        rig.feed(interface.CountOutcome(rig.open_calls.pop().name, 0.001, interface.End.ERROR))
     assert rig.last_state() == "sent" and not rig.gateway.calls
 
 
@@ -131,7 +131,7 @@
 
 
 def test_an_account_met_late_has_the_part_of_the_ceiling_refilled_since_the_start() -> None:
-    rig = GatewayRig(settings(plans=(CEILED,), counter=False))
+    rig = GatewayRig(settings(plans=(CEILED,), use_counter=False))
     rig.gateway.call_share = 0.0  # nobody is let in by totals meanwhile
     assert [rig.request(units=1.0, account=1) for _ in range(2)] == ["sent", "refused"]
     rig.finish()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,15 +18,27 @@
 CLASSES = (
     interface.RequestClass(aim=0.4, deadline=1.0),
     interface.RequestClass(
-        aim=0.4, deadline=1.0, effect=interface.Effect.KEYED, group=interface.Group.CELL, window=0.3
+        aim=0.4,
+        deadline=1.0,
+        idempotency=interface.Idempotency.KEYED,
+        dedup_scope=interface.DedupScope.CELL,
+        dedup_window=0.3,
     ),
     interface.RequestClass(
-        aim=0.4, deadline=1.0, effect=interface.Effect.KEYED, group=interface.Group.ALL, window=0.3
+        aim=0.4,
+        deadline=1.0,
+        idempotency=interface.Idempotency.KEYED,
+        dedup_scope=interface.DedupScope.ALL,
+        dedup_window=0.3,
     ),
     interface.RequestClass(
-        aim=0.4, deadline=1.0, effect=interface.Effect.KEYED, group=interface.Group.ZONE, window=0.3
+        aim=0.4,
+        deadline=1.0,
+        idempotency=interface.Idempotency.KEYED,
+        dedup_scope=interface.DedupScope.ZONE,
+        dedup_window=0.3,
     ),
-    interface.RequestClass(aim=0.4, deadline=1.0, effect=interface.Effect.UNSAFE, window=0.3),
+    interface.RequestClass(aim=0.4, deadline=1.0, idempotency=interface.Idempotency.UNSAFE, dedup_window=0.3),
 )
 CEILING = interface.Plan(rate=4.0, burst=16.0, ceiling_rate=6.0, ceiling_burst=24.0, ceiling_slack=4.0,
                  over_worth=0.5, over_cost=0.0)  # fmt: skip
@@ -34,7 +46,7 @@
 ENDS = [
     interface.End.OK,
     interface.End.ERROR,
-    interface.End.FULL,
+    interface.End.REJECTED,
     interface.End.TIMEOUT,
     interface.End.CONNECT_FAILED,
     interface.End.RESET,
@@ -48,7 +60,7 @@
                  make: Callable[[interface.Settings, int], Gateway] = Gateway) -> None:  # fmt: skip
         self.rng, self.settings, self.counter, self.now = random.Random(seed), config, counter, 0.0
         # Three halls, the gateways spread over them; the servers of a hall drop a keyed repeat together.
-        self.gateways = [make(replace(config, me=n, zone=n % 3), n) for n in range(gateways)]
+        self.gateways = [make(replace(config, gateway_index=n, zone=n % 3), n) for n in range(gateways)]
         self.events: list[tuple[float, int, int, interface.Event]] = []
         self.event_serial = 0
         self.health = {n: interface.Health.READY for n in range(1, 7)}
@@ -65,7 +77,7 @@
         self.ends, self.durations = ENDS, [0.03, 0.2, 0.9]  # of attempts
         for index in range(gateways):
             entries = tuple(entry(n, cell=n % 2, zone=n % 3) for n in self.health)
-            self.schedule(0.0, index, interface.ServerList(interface.ListKind.WHOLE, entries))
+            self.schedule(0.0, index, interface.ServerList(interface.ListKind.COMPLETE, entries))
 
     def schedule(self, after: float, index: int, event: interface.Event) -> None:
         self.event_serial += 1
@@ -94,7 +106,7 @@
                     change = entry(server, cell=server % 2, zone=server % 3, health=self.health[server])
                     self.schedule(0.0, index, interface.ServerList(interface.ListKind.CHANGES, (change,)))
             if self.staff_rng.random() < 0.05:
-                ban = interface.Banned(
+                ban = interface.BanChanged(
                     self.staff_rng.choice(list(self.health)), self.staff_rng.random() < 0.4, self.now
                 )
                 for index in range(len(self.gateways)):
@@ -115,8 +127,8 @@
                 self.open_requests[event.request] = (event, self.now + event.budget)
             if isinstance(event, interface.ServerList):
                 self.told_health[index].update({e.server: e.health for e in event.entries})
-            if isinstance(event, interface.Banned):
-                (self.banned[index].add if event.out else self.banned[index].discard)(event.server)
+            if isinstance(event, interface.BanChanged):
+                (self.banned[index].add if event.banned else self.banned[index].discard)(event.server)
             if isinstance(event, interface.Outcome):
                 event = self.outcome(event)
             for action in self.gateways[index].handle(self.now, [event]):
@@ -147,10 +159,11 @@
         elif isinstance(action, interface.Refuse):
             if any(t[2] != "safe" for t in self.attempts.get(action.request, [])):
                 cls = self.settings.classes[self.open_requests[action.request][0].cls]
-                assert cls.effect is not interface.Effect.UNSAFE, "refused what may have run"
-                assert cls.effect is interface.Effect.SAFE or cls.group is interface.Group.ALL, (
-                    "refused beyond the group"
-                )
+                assert cls.idempotency is not interface.Idempotency.UNSAFE, "refused what may have run"
+                assert (
+                    cls.idempotency is interface.Idempotency.SAFE
+                    or cls.dedup_scope is interface.DedupScope.ALL
+                ), "refused beyond the group"
             self.finish(action.request)
         elif isinstance(action, interface.Fail):
             self.finish(action.request)
@@ -168,14 +181,14 @@
         assert action.server not in self.banned[index], "sent to a server that staff took out"
         request = self.open_requests[action.request][0]
         cls, earlier = self.settings.classes[request.cls], self.attempts.setdefault(action.request, [])
-        assert self.settings.parallel or all(t[2] != "out" for t in earlier), "two attempts out at once"
+        assert self.settings.allow_parallel or all(t[2] != "out" for t in earlier), "two attempts out at once"
         risky = [t for t in earlier if t[2] != "safe"]
-        if risky and cls.effect is not interface.Effect.SAFE:
-            assert cls.effect is interface.Effect.KEYED, "sent an unsafe request again"
-            assert self.now <= risky[0][1] + cls.window, "sent again after the window"
-            if cls.group is interface.Group.CELL:
+        if risky and cls.idempotency is not interface.Idempotency.SAFE:
+            assert cls.idempotency is interface.Idempotency.KEYED, "sent an unsafe request again"
+            assert self.now <= risky[0][1] + cls.dedup_window, "sent again after the window"
+            if cls.dedup_scope is interface.DedupScope.CELL:
                 assert action.server % 2 == risky[0][0] % 2, "sent again outside the group"
-            if cls.group is interface.Group.ZONE:
+            if cls.dedup_scope is interface.DedupScope.ZONE:
                 assert action.server % 3 == risky[0][0] % 3, "sent again outside the hall"
         if not earlier and self.settings.plans[0].ceiling_rate:
             filled = self.ceiling_room + self.settings.plans[0].ceiling_rate * (
@@ -188,8 +201,8 @@
             assert self.ceiling_room >= -CEILING.ceiling_slack, "the ceiling is passed"
         earlier.append((action.server, self.now, "out"))
         end, took = self.rng.choice(self.ends), self.rng.choice(self.durations)
-        if self.now + took > action.stop_at:
-            end, took = interface.End.TIMEOUT, max(0.0, action.stop_at - self.now)
+        if self.now + took > action.deadline:
+            end, took = interface.End.TIMEOUT, max(0.0, action.deadline - self.now)
         self.schedule(
             took, index, interface.Outcome(action.request, len(earlier) - 1, action.server, end, took)
         )
@@ -200,13 +213,13 @@
         if self.counter == "silent":
             end = interface.End.TIMEOUT
         elif self.counter == "refusing":
-            end = interface.End.FULL
+            end = interface.End.REJECTED
         elif self.counter == "lying":
             total = self.rng.choice([0.0, float("nan"), -50.0, float("inf"), total])
         elif self.counter == "emptied" and self.rng.random() < 0.1:
             self.totals.clear()
         took = 0.05 if end is interface.End.TIMEOUT else 0.04 if self.counter == "crawling" else 0.002
-        self.schedule(took, index, interface.Counted(action.name, took, end, total))
+        self.schedule(took, index, interface.CountOutcome(action.name, took, end, total))
 
 
 COUNTERS = ["well", "silent", "refusing", "lying", "emptied", "crawling"]
@@ -221,8 +234,8 @@
         classes=CLASSES,
         plans=(CEILING,),
         gateways=gateways,
-        parallel=parallel,
-        cancel=cancel,
+        allow_parallel=parallel,
+        allow_cancel=cancel,
         max_attempts=4,
         cross_zone_price=0.02,
     )
@@ -236,10 +249,10 @@
     config = settings(classes=CLASSES[:1], plans=(CEILING,), gateways=2)
     world = World(4, 2, counter, config)
     world.run(40)
-    world.gateways[0] = Gateway(replace(config, me=0), 99)
+    world.gateways[0] = Gateway(replace(config, gateway_index=0), 99)
     world.events = [e for e in world.events if e[2] != 0]
     world.gateways[0].handle(
-        world.now, [interface.ServerList(interface.ListKind.WHOLE, tuple(entry(n) for n in world.health))]
+        world.now, [interface.ServerList(interface.ListKind.COMPLETE, tuple(entry(n) for n in world.health))]
     )
     world.told_health[0], world.banned[0] = {n: interface.Health.READY for n in world.health}, set()
     for n in range(1000, 1020):
@@ -287,29 +300,31 @@
     config = settings(classes=CLASSES[:1], plans=(CEILING,), gateways=2)
     world = World(4, 2, counter, config)
     world.run(40)
-    new = Gateway(replace(config, me=0), 99)
+    new = Gateway(replace(config, gateway_index=0), 99)
     entries = tuple(entry(n, health=health) for n, health in world.told_health[0].items())
     new.handle(
         world.now,
         [
-            interface.ServerList(interface.ListKind.WHOLE, entries),
-            *(interface.Banned(n, True) for n in world.banned[0]),
+            interface.ServerList(interface.ListKind.COMPLETE, entries),
+            *(interface.BanChanged(n, True) for n in world.banned[0]),
         ],
     )
-    snapshot.give(new, json.loads(json.dumps(snapshot.take(world.gateways[0]))), world.now)
+    snapshot.import_state(new, json.loads(json.dumps(snapshot.export_state(world.gateways[0]))), world.now)
     world.gateways.append(new)
     world.told_health.append(dict(world.told_health[0]))
     world.banned.append(set(world.banned[0]))
     for n in range(1000, 1060):  # the third gate is the first's successor: together they are one of two
         index = n % 3
-        world.schedule(0.0, index, interface.Request(n, 0, 0, 5, 1.0, 4.0, 2, parts=1 if index == 1 else 2))
+        world.schedule(
+            0.0, index, interface.Request(n, 0, 0, 5, 1.0, 4.0, 2, account_workers=1 if index == 1 else 2)
+        )
         world.step(0.005)
     assert world.ceiling_room >= -CEILING.ceiling_slack
 
 
 def test_nothing_is_sent_to_a_server_in_the_batch_that_drains_it() -> None:
-    gateway = Gateway(settings(counter=False), 1)
-    gateway.handle(0.0, [interface.ServerList(interface.ListKind.WHOLE, (entry(1), entry(2)))])
+    gateway = Gateway(settings(use_counter=False), 1)
+    gateway.handle(0.0, [interface.ServerList(interface.ListKind.COMPLETE, (entry(1), entry(2)))])
     drain = interface.ServerList(interface.ListKind.CHANGES, (entry(1, health=interface.Health.DRAINING),))
     requests = [interface.Request(n, 0, 0, n, 2.0) for n in range(12)]
     sends = [
@@ -323,18 +338,18 @@
 def test_cold_server_stays_within_the_fall_budget(number_of_gateways: int) -> None:
     # Eight servers of one second's work a second at half load, one cold at a fifth: all gateways alike.
     config = settings(
-        counter=False,
+        use_counter=False,
         gateways=number_of_gateways,
         plans=(interface.Plan(),),
-        cold=10.0,
-        cold_from=0.2,
-        fall=3.0,
-        fall_multiple=2.5,
+        slow_start_duration=10.0,
+        slow_start_share=0.2,
+        collapse_time=3.0,
+        collapse_ratio=2.5,
     )
     entries = tuple(entry(n) for n in range(1, 9))
     gateways = [Gateway(config, n) for n in range(number_of_gateways)]
     for gateway in gateways:
-        gateway.handle(0.0, [interface.ServerList(interface.ListKind.WHOLE, entries)])
+        gateway.handle(0.0, [interface.ServerList(interface.ListKind.COMPLETE, entries)])
     rng, now, number, service_time, cold_sends = random.Random(5), 0.0, 0, 0.16, []
     pending: list[tuple[float, int, interface.Event]] = []
     while now < 20.0:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -25,7 +25,7 @@
 
 
 def free(**changes: object) -> interface.Settings:
-    return settings(counter=False, plans=(interface.Plan(),), **changes)
+    return settings(use_counter=False, plans=(interface.Plan(),), **changes)
 
 
 def serve_one(rig: GatewayRig, took: float = 0.1) -> int:
@@ -42,13 +42,13 @@
     second. A warm server does one second's work a second; what is asked is 0.6 of what all warm would do.
     Whether hardly anything was sent to the cold ones, and the largest share of the fall budget spent."""
     config = settings(
-        counter=False,
+        use_counter=False,
         gateways=120,
         plans=(interface.Plan(),),
-        cold=15.0,
-        cold_from=0.16,
-        fall=3.0,
-        fall_multiple=2.5,
+        slow_start_duration=15.0,
+        slow_start_share=0.16,
+        collapse_time=3.0,
+        collapse_ratio=2.5,
     )
     rng, service_time, cold = random.Random(3), 0.15, range(1, number_cold + 1)
     entries = tuple(entry(n, started=50.0 + 0.01 * n if n in cold else 0.0) for n in range(1, 31))
@@ -56,9 +56,10 @@
     for n, gateway in enumerate(gateways):
         if n % 2:
             gateway.handle(
-                20.0, [interface.ServerList(interface.ListKind.WHOLE, tuple(entry(k) for k in range(1, 31)))]
+                20.0,
+                [interface.ServerList(interface.ListKind.COMPLETE, tuple(entry(k) for k in range(1, 31)))],
             )
-        gateway.handle(50.2, [interface.ServerList(interface.ListKind.WHOLE, entries)])
+        gateway.handle(50.2, [interface.ServerList(interface.ListKind.COMPLETE, entries)])
     weights = [1.0 if spread == "even" else 1.0 / (1 + n) for n in range(120)]
     sent: dict[int, list[float]] = {n: [] for n in cold}
     pending: list[tuple[float, int, interface.Event]] = []
@@ -170,8 +171,8 @@
 
 
 def test_attempts_whose_client_left_are_cancelled() -> None:
-    gateway = Gateway(free(cancel=True), 1)
-    gateway.handle(0.0, [interface.ServerList(interface.ListKind.WHOLE, (entry(1), entry(2)))])
+    gateway = Gateway(free(allow_cancel=True), 1)
+    gateway.handle(0.0, [interface.ServerList(interface.ListKind.COMPLETE, (entry(1), entry(2)))])
     assert any(
         isinstance(a, interface.Send) for a in gateway.handle(0.1, [interface.Request(1, 0, 0, 5, 2.0)])
     )
@@ -208,13 +209,18 @@
     # part while the warm ones were overrun and shed.
     gateway = Gateway(
         settings(
-            counter=False, plans=(interface.Plan(),), cold=16.0, cold_from=0.15, fall=1.5, fall_multiple=2.5
+            use_counter=False,
+            plans=(interface.Plan(),),
+            slow_start_duration=16.0,
+            slow_start_share=0.15,
+            collapse_time=1.5,
+            collapse_ratio=2.5,
         ),
         1,
     )
     # The cold ones are at 0.36 of a whole one.
     entries = tuple(entry(n, started=96.0 if n <= 36 else 0.0) for n in range(1, 61))
-    gateway.handle(100.0, [interface.ServerList(interface.ListKind.WHOLE, entries)])
+    gateway.handle(100.0, [interface.ServerList(interface.ListKind.COMPLETE, entries)])
     sent = [0, 0]
     for n in range(4000):
         for action in gateway.handle(100.0, [interface.Request(n, 0, 0, n, 2.0)]):
@@ -332,10 +338,10 @@
         interface.Outcome(9, 0, 9, interface.End.OK, 0.1),
         interface.ClientGone(9),
         interface.TimerFired(123456),
-        interface.PeerSaid(1, b"x"),
-        interface.Counted(9, 0.1, interface.End.OK, 5.0),
+        interface.PeerMessage(1, b"x"),
+        interface.CountOutcome(9, 0.1, interface.End.OK, 5.0),
         interface.StreamStarted(9, 0, 9, 0.1),
-        interface.Probed(9, interface.End.OK, 0.1),
+        interface.ProbeOutcome(9, interface.End.OK, 0.1),
     ]
     assert gateway.handle(0.1, events) == []
 
@@ -404,7 +410,7 @@
 @pytest.mark.parametrize(("servers", "ejected"), [(60, True), (4, False)])
 def test_one_error_ejects_a_server_that_is_rarely_used(servers: int, ejected: bool) -> None:
     # One of forty gateways meets each of 60 servers once in seconds: three errors in a row never came about.
-    rig = GatewayRig(settings(counter=False, plans=(interface.Plan(),)), servers=servers)
+    rig = GatewayRig(settings(use_counter=False, plans=(interface.Plan(),)), servers=servers)
     for n in range(200):
         rig.advance_to(n * 0.2)
         rig.request(account=n)
@@ -419,7 +425,7 @@
 
 def test_a_kept_connection_is_preferred_to_opening_one() -> None:
     # Forty gateways with little traffic opened one for every second order; each costs a server work.
-    rig = GatewayRig(settings(counter=False, plans=(interface.Plan(),)), servers=2)
+    rig = GatewayRig(settings(use_counter=False, plans=(interface.Plan(),)), servers=2)
     rig.gateway.servers[2].connection_used_at = rig.now
     for n in range(5):
         rig.request(account=n)
@@ -430,7 +436,7 @@
 def test_a_gateway_that_sheds_all_notices_the_end_of_the_load() -> None:
     # With nothing sent on nothing new is learnt: late answers of a burst kept one of forty gateways shedding
     # nearly all for ten seconds after the servers were idle.
-    rig = GatewayRig(settings(counter=False, plans=(interface.Plan(),)))
+    rig = GatewayRig(settings(use_counter=False, plans=(interface.Plan(),)))
     gateway = rig.gateway
     gateway.shed, gateway.answered, gateway.aim_ratios, gateway.late, gateway.overdue = (
         0.95, 16.0, 14.0, 8.0, 6.0)  # fmt: skip
@@ -494,7 +500,7 @@
         rig.request(account=n)
         counts, rig.open_calls = rig.open_calls, []
         for c in counts:
-            rig.feed(replace(rig.answer(c), took=0.018))
+            rig.feed(replace(rig.answer(c), duration=0.018))
         if rig.last_state() == "sent":
             rig.finish()
     assert rig.gateway.call_share == 1.0
@@ -545,7 +551,7 @@
 
 
 def test_shed_requests_are_told_to_retry_at_different_times() -> None:
-    rig = GatewayRig(settings(counter=False))
+    rig = GatewayRig(settings(use_counter=False))
     rig.gateway.shed = 0.95
     rig.gateway.late = rig.gateway.answered = 50.0
     while len(rig.refusals) < 50:
@@ -559,7 +565,7 @@
     assert max(r.retry_after for r in rig.refusals[calm:]) < min(waits)
 
 
-UNSAFE = (interface.RequestClass(aim=0.8, deadline=2.0, effect=interface.Effect.UNSAFE),)
+UNSAFE = (interface.RequestClass(aim=0.8, deadline=2.0, idempotency=interface.Idempotency.UNSAFE),)
 
 
 @pytest.mark.parametrize("path", ["quota", "counter silent", "shed", "no server fits", "budget spent",
@@ -595,7 +601,9 @@
             assert rig.last_state() == "sent"
         before = rig.now
         rig.finish(
-            {"budget spent": interface.End.FULL, "moot": interface.End.MOOT}.get(path, interface.End.ERROR)
+            {"budget spent": interface.End.REJECTED, "moot": interface.End.NOT_SENT}.get(
+                path, interface.End.ERROR
+            )
         )
         assert rig.last_state() == final and rig.now == before
     if final == "refused":
@@ -621,7 +629,7 @@
 def test_a_priced_zone_crossing_is_made_only_where_the_own_zone_has_no_room(price: float) -> None:
     rig = GatewayRig(free(zone=1, cross_zone_price=price), servers=0)
     rig.feed(
-        interface.ServerList(interface.ListKind.WHOLE, tuple(entry(n, zone=n % 3) for n in range(1, 10)))
+        interface.ServerList(interface.ListKind.COMPLETE, tuple(entry(n, zone=n % 3) for n in range(1, 10)))
     )
     for _ in range(90):  # light: one at a time
         rig.advance_to(rig.now + 0.05)
@@ -662,7 +670,7 @@
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
 def test_a_server_that_starts_while_we_serve_is_cold_whatever_the_clocks_say(step: float) -> None:
     # Our clock is an hour ahead of the list's, or an hour behind it.
-    rig = GatewayRig(free(cold=16.0, cold_from=0.15), servers=3)
+    rig = GatewayRig(free(slow_start_duration=16.0, slow_start_share=0.15), servers=3)
     rig.advance_to(10_000.0)
     rig.feed(interface.ServerList(interface.ListKind.CHANGES, (entry(4, started=rig.now - step),)))
     gateway = rig.gateway
@@ -681,8 +689,8 @@
 
 
 def test_servers_of_the_first_list_are_as_old_as_it_says() -> None:
-    gateway = Gateway(free(cold=16.0, cold_from=0.15), 1)
+    gateway = Gateway(free(slow_start_duration=16.0, slow_start_share=0.15), 1)
     gateway.handle(10_000.0, [interface.ServerList(interface.ListKind.CACHED, (entry(1, started=5_000.0),))])
     both = entry(1, started=5_000.0), entry(2, started=5_000.0)
-    gateway.handle(10_000.1, [interface.ServerList(interface.ListKind.WHOLE, both)])
+    gateway.handle(10_000.1, [interface.ServerList(interface.ListKind.COMPLETE, both)])
     assert [gateway.capacity(s) for s in gateway.servers.values()] == [1.0, 1.0]
