--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from opalgauge.lab.zone_simulation import Scenario, ZoneSimulation
-from opalgauge.memory.effects import AttemptSeen
-from opalgauge.memory.sealed import LONGEST
+from opalgauge.memory.effects import ReportAttempt
+from opalgauge.memory.signed_datagram import MAX_DATAGRAM_SIZE
 from opalgauge.zones import messages
 from opalgauge.zones.health import Opinion
 from opalgauge.zones.messages import Message, State, Told
@@ -38,8 +38,8 @@
     def attempt(self, node: int, end: i.End, took: timedelta = 60 * MS) -> None:
         self.number += 1
         zone, key = (node - 1) // self.sizes, (self.number, 0)
-        self.watch.seen(AttemptSeen(key, node, zone, 0), self.now - took)
-        self.watch.seen(AttemptSeen(key, node, zone, 0, end, took), self.now)
+        self.watch.seen(ReportAttempt(key, node, zone, 0), self.now - took)
+        self.watch.seen(ReportAttempt(key, node, zone, 0, end, took), self.now)
 
     def peer(
         self, number: int, *opinions: Opinion, state: State = State.IN, age: timedelta = 0 * MS, good: int = 0
@@ -99,8 +99,8 @@
 
 
 def tried(post: Post, node: int, end: i.End) -> None:
-    post.watch.seen(AttemptSeen((0, node), node, (node - 1) // post.sizes, 0), post.now - 20 * MS)
-    post.watch.seen(AttemptSeen((0, node), node, (node - 1) // post.sizes, 0, end, 20 * MS), post.now)
+    post.watch.seen(ReportAttempt((0, node), node, (node - 1) // post.sizes, 0), post.now - 20 * MS)
+    post.watch.seen(ReportAttempt((0, node), node, (node - 1) // post.sizes, 0, end, 20 * MS), post.now)
 
 
 def test_who_hears_nobody_asks_after_a_zone_that_its_own_requests_no_longer_reach() -> None:
@@ -293,7 +293,7 @@
 ) -> None:
     rows = tuple(Told(o, s, timedelta(milliseconds=age), g, b) for o, s, age, g, b in zones)
     data = messages.write(Message(sender, life, number, rows), b"secret")
-    assert len(data) <= LONGEST
+    assert len(data) <= MAX_DATAGRAM_SIZE
     back = messages.read(data, b"secret")
     assert back is not None and (back.sender, back.life, back.number) == (sender, life, number)
     assert [z.state for z in back.zones] == [z.state for z in rows[: messages.MOST_ZONES]]
