--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -99,12 +99,11 @@
     """A server as this gateway sees it; all times by the gateway's clock.
 
     `returned_at`: when a ban was lifted, 0: never. `connection_used_at`: when a connection last worked there.
-    `time_ratio`: its time over the usual. `in_flight`: start by request and attempt, infinite: not yet."""
+    `slowdown`: its time over the usual. `in_flight`: start by request and attempt, infinite: not yet."""
 
-    def __init__(self, entry: interface.ServerEntry, now: float, started_at: float,
-                 returned_at: float = 0.0) -> None:  # fmt: skip
-        self.entry, self.time_ratio, self.returned_at = entry, 1.0, returned_at
-        self.started_at = started_at
+    def __init__(self, entry: interface.ServerEntry, now: float, start: float, returned: float = 0.0) -> None:
+        self.entry, self.slowdown, self.returned_at = entry, 1.0, returned
+        self.started_at = start
         self.failures: dict[int, list[float]] = {}  # by class: failed share, ejected until, next time
         self.in_flight: dict[tuple[int, int], float] = {}
         self.last_ok_at, self.connection_used_at, self.queue_length = now, -math.inf, 0.0
@@ -221,10 +220,10 @@
         self.accounts.move_to_end(request.account)
         account.advance(self.now)
         account.seen_at = self.now
-        if request.account_workers != account.parts:  # its part is split over more cores, or fewer
-            account.headroom *= min(1.0, account.parts / request.account_workers)
-            account.spread, account.parts = (account.spread // account.parts * request.account_workers,
-                                             request.account_workers)  # fmt: skip
+        if request.account_workers != account.workers:  # its part is split over more cores, or fewer
+            account.headroom *= min(1.0, account.workers / request.account_workers)
+            account.spread, account.workers = (account.spread // account.workers * request.account_workers,
+                                               request.account_workers)  # fmt: skip
         if request.exclusive_for < math.inf:  # other cores may have spent what there was before
             account.headroom = min(
                 account.headroom, plan.ceiling_rate / account.spread * request.exclusive_for)  # fmt: skip
@@ -520,7 +519,7 @@
 
     def slowness(self, server: Server) -> float:
         """Its time over the usual; returns to 1 as the last answer ages, since it says little by then."""
-        return 1 + (server.time_ratio - 1) * math.exp((server.last_ok_at - self.now) / DECAY_TIME)
+        return 1 + (server.slowdown - 1) * math.exp((server.last_ok_at - self.now) / DECAY_TIME)
 
     def expected_wait(self, server: Server, req: PendingRequest) -> float:
         """Expected time there, relative to the usual: by its speed, queue and our oldest attempt."""
@@ -539,7 +538,7 @@
         cls, ready, usual = req.event.cls, self.ready, self.usual[req.event.cls % len(self.usual)]
         if (req.ran_on >= 0 and req.cls.idempotency is Idempotency.KEYED
                 and req.cls.dedup_scope is not DedupScope.ALL):  # fmt: skip
-            ready = [k for k in ready if self.same_group(req, k)]
+            ready = [k for k in ready if self.same_dedup_scope(req, k)]
         # For servers that slow down the more they hold. Drawback: may refuse where all requests take long.
         max_queued = req.cls.aim * QUEUE_AIM_SHARE * (BEYOND_QUOTA_RESERVE if req.beyond else 1.0)
         candidates: list[tuple[int, Server]] = []
@@ -595,7 +594,7 @@
         available = sum(self.slow_start_share(self.servers[k]) for k in drawn) / len(drawn)
         return min(1.0, available / MIN_WARM_SHARE)
 
-    def same_group(self, req: PendingRequest, key: int) -> bool:
+    def same_dedup_scope(self, req: PendingRequest, key: int) -> bool:
         """Whether the server drops repeats together with the one that may have run the request."""
         a, b = self.servers.get(req.ran_on), self.servers.get(key)
         if a is None or b is None:
@@ -787,14 +786,13 @@
                 server.queue_length = min(max(0.0, queue_length), 20.0)
             if req:
                 n = cls % len(self.usual)
-                server.time_ratio += 2 * EWMA * (
-                    min(20.0, event.duration / self.usual[n]) - server.time_ratio)  # fmt: skip
+                server.slowdown += 2 * EWMA * (min(20.0, event.duration / self.usual[n]) - server.slowdown)
                 self.usual[n] += EWMA / 10 * (min(event.duration, 4 * self.usual[n]) - self.usual[n])
             if cls in server.failures:
                 server.failures[cls] = [min(EJECT_SHARE, server.failures[cls][0] * (1 - ERROR_WEIGHT)),
                                         0.0, MIN_EJECT_TIME]  # fmt: skip
         elif event.end in (End.TIMEOUT, End.REJECTED):
-            server.time_ratio = min(20.0, server.time_ratio * 1.2)
+            server.slowdown = min(20.0, server.slowdown * 1.2)
         if event.end not in (End.ERROR, End.RESET, End.TIMEOUT, End.CONNECT_FAILED):
             return
         # One of forty gateways may use a server once in many seconds: the fewer samples in DECAY_TIME, the
--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, request: interface.Request, plan: interface.Plan, now: float, uptime: float) -> None:
-        self.id, self.plan, self.parts = request.account, plan, request.account_workers
+        self.id, self.plan, self.workers = request.account, plan, request.account_workers
         self.spread = max(1, request.account_gateways) * request.account_workers
         # A window lasts as long as the burst takes to refill, or as the counter can keep its names.
         self.window_s = min(plan.burst / plan.rate, MAX_NAME_TTL / TTL_WINDOWS) if plan.rate > 0 else 0.0
--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -43,7 +43,7 @@
                   "seen_at", "judged", "admitted", "judged_at",
             "headroom")  # fmt: skip
 ACCOUNT_FLAGS = ("prev_known", "stale")
-SERVER_FIELDS = ("time_ratio", "queue_length", "last_ok_at", "returned_at")
+SERVER_FIELDS = ("slowdown", "queue_length", "last_ok_at", "returned_at")
 
 
 class SnapshotError(Exception):
@@ -65,7 +65,7 @@
             for key, server in gateway.servers.items()
         ],
         "customers": [
-            [c.id, plans.index(c.plan), c.spread // c.parts, c.parts, c.window,
+            [c.id, plans.index(c.plan), c.spread // c.workers, c.workers, c.window,
              [getattr(c, name) for name in ACCOUNT_FIELDS], [getattr(c, name) for name in ACCOUNT_FLAGS]]
             for c in customers
         ],
@@ -131,7 +131,7 @@
     for key, started, values, ill in servers:
         server = gateway.servers.get(key)
         if server is not None and server.entry.started == started:
-            server.time_ratio, server.queue_length, server.last_ok_at, server.returned_at = values
+            server.slowdown, server.queue_length, server.last_ok_at, server.returned_at = values
             server.failures = ill
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -20,7 +20,11 @@
     "ban": ("listed_ready - self.banned.keys()", "listed_ready", "staff"),
     "unsafe repeat": (KEYED + "\n                and self.now + self.settings.tick", "self.now", "unsafe"),
     "window": ("< req.ran_at + req.cls.dedup_window", "< math.inf", "after the window"),
-    "group": ("ready = [k for k in ready if self.same_group(req, k)]", "pass", "sent again outside the"),
+    "group": (
+        "ready = [k for k in ready if self.same_dedup_scope(req, k)]",
+        "pass",
+        "sent again outside the",
+    ),
     "refusal": (KEYED + " and req.cls.dedup_scope is DedupScope.ALL", "True", "refused"),
     "ceiling": ("(not req.capped or account.headroom >= needed)", "True", "ceiling"),
     "patience": ("request.budget / 2 - s.tick", "1.0", "overdue"),
