--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -512,9 +512,9 @@
 
     def capacity(self, server: Server) -> float:
         """The share of its capacity that a server can be given now: by slow start and by its zone."""
-        return min(self.slow_start_share(server), self.zone_share(server))
+        return min(self.warm_share(server), self.zone_share(server))
 
-    def slow_start_share(self, server: Server) -> float:
+    def warm_share(self, server: Server) -> float:
         return self.slow_start.share(max(server.started_at, server.returned_at), self.now)
 
     def slowness(self, server: Server) -> float:
@@ -585,13 +585,13 @@
             if share >= 1 or self.rng.random() < share * self.cold_factor * self.cold_damping(drawn):
                 return [first, *(k for k in drawn if k != first)], True
         # All were rejected. If all zones are left, one there may be used; a cold one may not.
-        return drawn, bool(drawn) and self.slow_start_share(self.servers[drawn[0]]) >= 1
+        return drawn, bool(drawn) and self.warm_share(self.servers[drawn[0]]) >= 1
 
     def cold_damping(self, drawn: list[int]) -> float:
         """Factor on a cold server's part where most of those drawn are cold.
 
         The less of the whole capacity is there, the more of the missing servers' traffic falls on each."""
-        available = sum(self.slow_start_share(self.servers[k]) for k in drawn) / len(drawn)
+        available = sum(self.warm_share(self.servers[k]) for k in drawn) / len(drawn)
         return min(1.0, available / MIN_WARM_SHARE)
 
     def same_dedup_scope(self, req: PendingRequest, key: int) -> bool:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -31,11 +31,11 @@
 }
 
 
-def fault(source: str) -> str:
+def find_violation(source: str) -> str:
     """What the random worlds find wrong with a module; empty when nothing."""
     module = types.ModuleType("brain_without_a_guard")
     exec(compile(source, "brain", "exec"), module.__dict__)  # noqa: S102
-    make: type[Gateway] = module.Gateway
+    make_gateway: type[Gateway] = module.Gateway
     for seed in range(12):
         for counter in ("silent", "emptied"):
             try:
@@ -44,18 +44,18 @@
                     interface.Plan(rate=50.0, burst=500.0),
                 ):  # the second lets nearly all through
                     config = settings(classes=CLASSES, plans=(plan,), gateways=2, max_attempts=4)
-                    World(seed, 2, counter, config, make).run(120)
+                    World(seed, 2, counter, config, make_gateway).run(120)
             except AssertionError as error:
                 return str(error)
     return ""
 
 
 def test_nothing_is_found_with_all_guards_in() -> None:
-    assert fault(SOURCE) == ""
+    assert find_violation(SOURCE) == ""
 
 
 @pytest.mark.parametrize("name", GUARDS)
 def test_a_missing_guard_is_found(name: str) -> None:
-    there, instead, says = GUARDS[name]
-    assert there in SOURCE
-    assert says in fault(SOURCE.replace(there, instead))
+    guard, replacement, message = GUARDS[name]
+    assert guard in SOURCE
+    assert message in find_violation(SOURCE.replace(guard, replacement))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -61,8 +61,8 @@
     assert rig.request(units=1.0) == "waiting"
     rig.advance_to(0.03)
     assert rig.last_state() == "sent"
-    verdicts = [rig.request(units=4.0, step=0.06) for _ in range(12)]
-    assert verdicts.count("refused") >= 8
+    states = [rig.request(units=4.0, step=0.06) for _ in range(12)]
+    assert states.count("refused") >= 8
 
 
 def test_impatient_try_is_answered_while_the_counter_is_silent() -> None:
@@ -127,11 +127,13 @@
     assert rig.last_state() == "sent" and not rig.gateway.calls
 
 
-CEILED = interface.Plan(rate=2.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=16.0, ceiling_slack=2.0)
+PLAN_WITH_CEILING = interface.Plan(
+    rate=2.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=16.0, ceiling_slack=2.0
+)
 
 
 def test_an_account_met_late_has_the_part_of_the_ceiling_refilled_since_the_start() -> None:
-    rig = GatewayRig(settings(plans=(CEILED,), use_counter=False))
+    rig = GatewayRig(settings(plans=(PLAN_WITH_CEILING,), use_counter=False))
     rig.gateway.call_share = 0.0  # nobody is let in by totals meanwhile
     assert [rig.request(units=1.0, account=1) for _ in range(2)] == ["sent", "refused"]
     rig.finish()
@@ -142,12 +144,12 @@
 def test_requests_admitted_by_a_total_need_no_part_of_the_ceiling() -> None:
     # Each of four gateways has a quarter of 16 units, and of the slack only where it has just started: inside
     # a quota of 8 units a second order of 2 was refused there, whatever the total said.
-    rig = GatewayRig(settings(plans=(CEILED,), gateways=4))
+    rig = GatewayRig(settings(plans=(PLAN_WITH_CEILING,), gateways=4))
     assert [rig.request(units=2.0, spread=4) for _ in range(5)] == ["sent"] * 4 + ["refused"]
 
 
 def test_after_lost_counts_totals_admit_only_what_the_part_of_the_ceiling_allows() -> None:
-    rig = GatewayRig(settings(plans=(CEILED,), gateways=4))
+    rig = GatewayRig(settings(plans=(PLAN_WITH_CEILING,), gateways=4))
     assert [rig.request(units=2.0, spread=4) for _ in range(3)] == ["sent"] * 3
     rig.totals.clear()
     assert [rig.request(units=2.0, spread=4, account=n) for n in (7, 8, 9)] == ["refused"] * 3
@@ -168,8 +170,8 @@
 def test_units_admitted_without_a_call_are_refunded_without_one() -> None:
     # Guards a pressed counter: each refusal in overload cost it a call, and it never came back.
     rig = GatewayRig(settings(), answering=False, servers=1)
-    for customer in range(40):
+    for n in range(40):
         rig.gateway.call_share = 0.0
-        rig.request(account=customer % 4)
+        rig.request(account=n % 4)
     assert sum(state == "refused" for state in rig.states.values()) > 20
     assert rig.call_count <= 1  # the trial
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -57,10 +57,12 @@
     """Several gateways in one world that breaks at random; asserts the rules as it goes."""
 
     def __init__(self, seed: int, gateways: int, counter: str, config: interface.Settings,
-                 make: Callable[[interface.Settings, int], Gateway] = Gateway) -> None:  # fmt: skip
+                 make_gateway: Callable[[interface.Settings, int], Gateway] = Gateway) -> None:  # fmt: skip
         self.rng, self.settings, self.counter, self.now = random.Random(seed), config, counter, 0.0
         # Three halls, the gateways spread over them; the servers of a hall drop a keyed repeat together.
-        self.gateways = [make(replace(config, gateway_index=n, zone=n % 3), n) for n in range(gateways)]
+        self.gateways = [
+            make_gateway(replace(config, gateway_index=n, zone=n % 3), n) for n in range(gateways)
+        ]
         self.events: list[tuple[float, int, int, interface.Event]] = []
         self.event_serial = 0
         self.health = {n: interface.Health.READY for n in range(1, 7)}
@@ -335,7 +337,7 @@
 
 
 @pytest.mark.parametrize("number_of_gateways", [1, 3])
-def test_cold_server_stays_within_the_fall_budget(number_of_gateways: int) -> None:
+def test_cold_server_stays_within_the_collapse_limit(number_of_gateways: int) -> None:
     # Eight servers of one second's work a second at half load, one cold at a fifth: all gateways alike.
     config = settings(
         use_counter=False,
@@ -355,9 +357,9 @@
     while now < 20.0:
         now += 0.01
         if abs(now - 8.0) < 0.005:
-            back = interface.ServerList(interface.ListKind.CHANGES, (entry(8, started=now),))
+            restart = interface.ServerList(interface.ListKind.CHANGES, (entry(8, started=now),))
             for gateway in gateways:
-                gateway.handle(now, [back])
+                gateway.handle(now, [restart])
         for due in [p for p in pending if p[0] <= now]:
             pending.remove(due)
             gateways[due[1]].handle(now, [due[2]])
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -36,7 +36,7 @@
 
 
 def cold_fleet(
-    spread: str, make: Callable[[interface.Settings, int], Gateway], number_cold: int = 10
+    spread: str, make_gateway: Callable[[interface.Settings, int], Gateway], number_cold: int = 10
 ) -> tuple[bool, float]:
     """120 gateways, half of them just started; a third of 30 servers comes back cold within a tenth of a
     second. A warm server does one second's work a second; what is asked is 0.6 of what all warm would do.
@@ -52,7 +52,7 @@
     )
     rng, service_time, cold = random.Random(3), 0.15, range(1, number_cold + 1)
     entries = tuple(entry(n, started=50.0 + 0.01 * n if n in cold else 0.0) for n in range(1, 31))
-    gateways = [make(config, n) for n in range(120)]
+    gateways = [make_gateway(config, n) for n in range(120)]
     for n, gateway in enumerate(gateways):
         if n % 2:
             gateway.handle(
@@ -79,12 +79,12 @@
                 pending.append((now + service_time, index, end))
                 if action.server in sent:
                     sent[action.server].append(now)
-    over = 0.0
+    worst = 0.0
     for server, times in sent.items():
         for t in times:
             share = 0.16 + 0.84 * min(1.0, (t - 50.0 - 0.01 * server) / 15.0)
-            over = max(over, sum(service_time for x in times if t <= x < t + 3.0) / (2.5 * share * 3.0))
-    return sum(len(v) for v in sent.values()) <= 50, over
+            worst = max(worst, sum(service_time for x in times if t <= x < t + 3.0) / (2.5 * share * 3.0))
+    return sum(len(v) for v in sent.values()) <= 50, worst
 
 
 def test_a_server_that_fails_one_class_is_ejected_for_it_alone() -> None:
@@ -141,8 +141,8 @@
     for _ in range(5):
         rig.advance_to(rig.now + 0.3)
         serve_one(rig)
-    verdicts = [rig.request(account=n) for n in range(20)]
-    assert 1 <= verdicts.count("sent") <= 4
+    states = [rig.request(account=n) for n in range(20)]
+    assert 1 <= states.count("sent") <= 4
 
 
 def test_overload_sheds_the_low_worth_first() -> None:
@@ -151,11 +151,11 @@
     for _ in range(20):
         rig.advance_to(rig.now + 0.1)
         serve_one(rig, took=1.1)
-    got: Counter[int] = Counter()
+    sent: Counter[int] = Counter()
     for n in range(60):
         rig.advance_to(rig.now + 0.04)
-        got[n % 2] += rig.request(account=n, cls=n % 2) == "sent"
-    assert got[1] > got[0]
+        sent[n % 2] += rig.request(account=n, cls=n % 2) == "sent"
+    assert sent[1] > sent[0]
 
 
 def test_without_servers_a_request_is_held_for_half_its_aim_then_refused() -> None:
@@ -180,19 +180,19 @@
 
 
 @pytest.mark.parametrize("spread", ["even", "uneven"])
-def test_cold_servers_stay_within_the_fall_budget_of_a_fleet(spread: str) -> None:
-    few, over = cold_fleet(spread, Gateway)
-    assert not few
-    assert over <= 1.0
+def test_cold_servers_stay_within_the_collapse_limit_in_a_fleet(spread: str) -> None:
+    hardly_any, worst = cold_fleet(spread, Gateway)
+    assert not hardly_any
+    assert worst <= 1.0
 
 
 @pytest.mark.parametrize("number_cold", [20, 27, 30])
 def test_where_nearly_all_servers_are_cold_each_stays_within_the_margin_of_the_rule(number_cold: int) -> None:
     # All of what the warm ones no longer take fell on them: 2.6 times what they bear, with 30 of 30.
-    few, over = cold_fleet("even", Gateway, number_cold)
+    hardly_any, worst = cold_fleet("even", Gateway, number_cold)
     allowed = 2.5 * 0.16 * 3.0 / 0.15  # requests, at the start
-    assert not few
-    assert over <= (allowed + 3 * math.sqrt(allowed) + 3) / allowed * 0.9
+    assert not hardly_any
+    assert worst <= (allowed + 3 * math.sqrt(allowed) + 3) / allowed * 0.9
 
 
 def test_a_missing_cold_guard_is_noticed() -> None:
@@ -239,13 +239,13 @@
         if rig.last_state() == "sent":
             rig.finish()
     rig.advance_to(rig.now + 2.0)
-    done = 0
+    operations = 0
 
-    def counted(real: Callable[..., float | None]) -> Callable[..., float | None]:
+    def counted(method: Callable[..., float | None]) -> Callable[..., float | None]:
         def call(*args: object) -> float | None:
-            nonlocal done
-            done += 1
-            return real(*args)
+            nonlocal operations
+            operations += 1
+            return method(*args)
 
         return call
 
@@ -256,7 +256,7 @@
         if rig.request(account=n % 20) == "sent":
             rig.finish()
     monkeypatch.undo()
-    return done
+    return operations
 
 
 def test_the_cost_of_a_decision_does_not_grow_with_servers_or_idle_accounts(
@@ -283,13 +283,13 @@
         rig.answer_all(0.0)  # an answer, but late
         if rig.last_state() == "sent":
             rig.finish()
-    few = rig.call_count
+    before = rig.call_count
     for n in range(40, 80):
         rig.request(account=n, step=0.04)
         rig.answer_all(0.0)
         if rig.last_state() == "sent":
             rig.finish()
-    assert rig.call_count - few <= 8
+    assert rig.call_count - before <= 8
     rig.answering = True
     for n in range(100, 400):
         rig.advance_to(rig.now + 0.04)
@@ -314,9 +314,9 @@
     rig = GatewayRig(settings(gateways=200), answering=False)
     gateway = rig.gateway
     gateway.call_share, gateway.counter_quick, gateway.admit_shares = 0.0, False, [0.5, 0.5]
-    verdicts = [rig.request(account=n, spread=200, units=2.0) for n in range(60)]
-    assert 10 < verdicts.count("sent") < 50
-    refused = verdicts.index("refused")
+    states = [rig.request(account=n, spread=200, units=2.0) for n in range(60)]
+    assert 10 < states.count("sent") < 50
+    refused = states.index("refused")
     assert [rig.request(account=refused, spread=200, units=2.0) for _ in range(15)] == ["refused"] * 15
 
 
@@ -402,9 +402,9 @@
 def test_an_overloaded_counter_is_not_called_for_requests_that_are_shed() -> None:
     rig = overloaded_after_counter_failure()
     before = rig.call_count
-    verdicts = [rig.request(account=n) for n in range(60)]
-    assert verdicts.count("refused") > 45
-    assert rig.call_count - before <= 2 * verdicts.count("sent")
+    states = [rig.request(account=n) for n in range(60)]
+    assert states.count("refused") > 45
+    assert rig.call_count - before <= 2 * states.count("sent")
 
 
 @pytest.mark.parametrize(("servers", "ejected"), [(60, True), (4, False)])
@@ -454,13 +454,13 @@
         interface.Plan(rate=100.0, burst=1000.0, price=1.6),
     )
     rig = GatewayRig(settings(plans=plans))
-    asked = [0, 0]
+    calls = [0, 0]
     for n in range(600):
         rig.gateway.call_share, rig.gateway.counter_quick, before = 0.4, False, rig.call_count
         rig.request(account=n % 2, plan=n % 2, units=1.0 + n % 2)
         rig.finish()
-        asked[n % 2] += rig.call_count > before
-    assert asked[1] > 1.5 * asked[0] > 0
+        calls[n % 2] += rig.call_count > before
+    assert calls[1] > 1.5 * calls[0] > 0
 
 
 def test_a_gateway_with_little_traffic_calls_a_recovered_counter_within_seconds() -> None:
@@ -498,42 +498,42 @@
     for n in range(200):
         rig.advance_to(rig.now + 0.03)
         rig.request(account=n)
-        counts, rig.open_calls = rig.open_calls, []
-        for c in counts:
-            rig.feed(replace(rig.answer(c), duration=0.018))
+        calls, rig.open_calls = rig.open_calls, []
+        for call in calls:
+            rig.feed(replace(rig.answer(call), duration=0.018))
         if rig.last_state() == "sent":
             rig.finish()
     assert rig.gateway.call_share == 1.0
 
 
-@pytest.mark.parametrize("trouble", ["none", "kept", "all", "late"])
-def test_connections_that_die_while_kept_are_not_used(trouble: str) -> None:
+@pytest.mark.parametrize("fault", ["none", "kept", "all", "late"])
+def test_connections_that_die_while_kept_are_not_used(fault: str) -> None:
     # From 20 s on what is sent on an idle kept connection is lost; or one in three everywhere; or one in
     # twenty is answered after its aim.
     rig, rng = GatewayRig(free(max_attempts=1), servers=40), random.Random(5)
-    kept: dict[int, float] = {}  # since when idle
-    ends = {(kind, late): [0, 0] for kind in ("kept", "new", "busy") for late in (False, True)}
+    idle_since: dict[int, float] = {}  # since when idle
+    ends = {(connection, late): [0, 0] for connection in ("kept", "new", "busy") for late in (False, True)}
     for n in range(600):
         rig.advance_to(rig.now + 0.1)
-        closed = len(rig.closed_servers)
+        closed_before = len(rig.closed_servers)
         assert rig.request(account=n) == "sent"
         server = rig.sends[-1].server
-        for key in rig.closed_servers[closed:]:
-            kept.pop(key, None)
-        idle = rig.now - kept.get(server, -math.inf)  # after 15 s it is closed
-        kind = "new" if idle >= 15 else "kept" if idle >= 0 else "busy"
-        lost = rig.now > 20 and (rng.random() < 1 / 3 if trouble == "all" else trouble == kind)
-        end = ends[kind, rig.now > 25]
-        end[0], end[1] = end[0] + 1, end[1] + lost
-        kept[server] = rig.now + 0.08
+        for closed_server in rig.closed_servers[closed_before:]:
+            idle_since.pop(closed_server, None)
+        idle = rig.now - idle_since.get(server, -math.inf)  # after 15 s it is closed
+        connection = "new" if idle >= 15 else "kept" if idle >= 0 else "busy"
+        lost = rig.now > 20 and (rng.random() < 1 / 3 if fault == "all" else fault == connection)
+        counts = ends[connection, rig.now > 25]
+        counts[0], counts[1] = counts[0] + 1, counts[1] + lost
+        idle_since[server] = rig.now + 0.08
         if lost:
-            del kept[server]
-        took = 2.0 if lost else 1.2 if trouble == "late" and n % 20 == 0 else 0.08
+            del idle_since[server]
+        took = 2.0 if lost else 1.2 if fault == "late" and n % 20 == 0 else 0.08
         rig.finish_in(took, interface.End.TIMEOUT if lost else interface.End.OK)
-    if trouble == "kept":
+    if fault == "kept":
         assert ends["kept", True][1] <= 3 and ends["new", True][0] > 300
     else:  # nothing is gained by new connections, so the kept ones are used
-        assert len(rig.closed_servers) < (200 if trouble == "all" else 1) and ends["kept", True][0] > 100
+        assert len(rig.closed_servers) < (200 if fault == "all" else 1) and ends["kept", True][0] > 100
 
 
 @pytest.mark.parametrize(("answers", "sheds"), [("quick", False), ("slow", True), ("none", True)])
@@ -558,11 +558,11 @@
         rig.request(account=rig.request_number)
     waits = [r.retry_after for r in rig.refusals]
     assert min(waits) > 0.1 and max(waits) < 0.4 and len(set(waits)) > 40
-    rig.gateway.shed, calm = 0.05, len(rig.refusals)
+    rig.gateway.shed, before = 0.05, len(rig.refusals)
     rig.gateway.late = 0.0
-    while len(rig.refusals) < calm + 5:
+    while len(rig.refusals) < before + 5:
         rig.request(account=rig.request_number)
-    assert max(r.retry_after for r in rig.refusals[calm:]) < min(waits)
+    assert max(r.retry_after for r in rig.refusals[before:]) < min(waits)
 
 
 UNSAFE = (interface.RequestClass(aim=0.8, deadline=2.0, idempotency=interface.Idempotency.UNSAFE),)
@@ -571,19 +571,19 @@
 @pytest.mark.parametrize("path", ["quota", "counter silent", "shed", "no server fits", "budget spent",
                                   "attempts spent", "may have run", "moot", "no server listed"])  # fmt: skip
 def test_a_request_given_up_gets_its_final_answer_at_once(path: str) -> None:
-    counts = path in ("quota", "counter silent")
-    config = settings(max_attempts=2) if counts else free(max_attempts=2)
+    by_quota = path in ("quota", "counter silent")
+    config = settings(max_attempts=2) if by_quota else free(max_attempts=2)
     config = replace(config, classes=UNSAFE) if path == "may have run" else config
     rig = GatewayRig(config, servers=path != "no server listed")
     rig.answering = path != "counter silent"
     final = "failed" if path == "may have run" else "refused"
-    if counts:
-        verdicts = []
+    if by_quota:
+        states = []
         for _ in range(12):  # a silent counter is waited for once, for 30 ms
-            verdicts.append(rig.request(step=0.0 if path == "quota" else 0.035))
-            if verdicts[-1] == "sent":
+            states.append(rig.request(step=0.0 if path == "quota" else 0.035))
+            if states[-1] == "sent":
                 rig.finish()
-        assert set(verdicts) == {"sent", final}
+        assert set(states) == {"sent", final}
     elif path == "shed":
         rig.gateway.shed, rig.gateway.late, rig.gateway.answered = 0.95, 50.0, 50.0
         assert final in [rig.request(account=n) for n in range(20)]
@@ -607,7 +607,7 @@
         )
         assert rig.last_state() == final and rig.now == before
     if final == "refused":
-        assert rig.refusals[-1].retry_after >= (rig.gateway.settings.tick if counts else 0.02)
+        assert rig.refusals[-1].retry_after >= (rig.gateway.settings.tick if by_quota else 0.02)
 
 
 def test_what_healthy_servers_have_no_room_for_is_not_sent_to_an_ejected_one() -> None:
@@ -637,9 +637,9 @@
     own = sum(s.server % 3 == 1 for s in rig.sends) / len(rig.sends)
     assert own > 0.9 if price else 0.2 < own < 0.5
     # Busy: what the own hall has no room for goes to the others, and nothing is refused.
-    verdicts = [rig.request(account=500 + n) for n in range(24)]
-    crossed = {s.server % 3 for s in rig.sends[-verdicts.count("sent") :]}
-    assert verdicts.count("sent") == 24 and crossed == {0, 1, 2}
+    states = [rig.request(account=500 + n) for n in range(24)]
+    crossed = {s.server % 3 for s in rig.sends[-states.count("sent") :]}
+    assert states.count("sent") == 24 and crossed == {0, 1, 2}
 
 
 def test_a_healthy_counter_is_not_called_for_repeats_before_the_bucket_has_room() -> None:
