--- a/starlinggap/__init__.py
+++ b/starlinggap/__init__.py
@@ -27,9 +27,9 @@
 (`retry_after`).
 
 Choose a server (`choose_server`). Of two servers drawn at random, the one with the shorter expected wait. A
-server that has just started is cold: in any `Settings.fall` seconds it must be sent no more than
-`fall_multiple` times its share of capacity at that age, by all gateways together (`draw_candidates`). That
-is its fall budget.
+server that has just started is cold. It would collapse if all gateways together sent it more within
+`Settings.collapse_time` than `collapse_ratio` times what it can do at that age; `draw_candidates` keeps
+below this limit.
 
 Send and retry (`dispatch`, `on_outcome`). A failed attempt is repeated only if a repeat does no harm
 (`may_send`) and, after a sign of load, if the retry budget has one left. What cannot be sent is refused if
--- a/tests/gateway_rig.py
+++ b/tests/gateway_rig.py
@@ -1,4 +1,4 @@
-"""A gateway with a counter kept in a dictionary, driven by hand. For tests only."""
+"""A test rig that drives one gateway by hand, with a counter in a dictionary and a clock set by the test."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 
 def settings(**changes: object) -> interface.Settings:
+    """One class and one plan, two gateways and a counter; `changes` replace fields."""
     base = interface.Settings(
         classes=(interface.RequestClass(aim=0.8, deadline=2.0),),
         plans=(interface.Plan(rate=2.0, burst=8.0),),
@@ -21,11 +22,15 @@
 
 
 def entry(server: int, **changes: object) -> interface.ServerEntry:
+    """A line of the server list for a ready server."""
     return replace(interface.ServerEntry(server, interface.Health.READY), **changes)  # type: ignore[arg-type]
 
 
 class GatewayRig:
-    """Feeds one gateway, answers its counter calls and fires its timers in their order."""
+    """Feeds events to one gateway, answers its counter calls and fires its timers in their order.
+
+    `answering`: counter calls are answered at once; else they stay in `open_calls`.
+    """
 
     def __init__(
         self, config: interface.Settings, answering: bool = True, servers: int = 4, seed: int = 1
@@ -47,6 +52,7 @@
         )
 
     def feed(self, *events: interface.Event) -> None:
+        """Hands events to the gateway and records its actions, until no counter answer is left."""
         pending = list(events)
         while pending:
             calls = []
@@ -74,11 +80,12 @@
                 self.open_calls = []
 
     def answer(self, call: interface.Count) -> interface.CountOutcome:
+        """Adds to the total of the call's name and returns the answer."""
         self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
         return interface.CountOutcome(call.name, 0.001, interface.End.OK, self.totals[call.name])
 
     def answer_all(self, total: float | None) -> None:
-        """Late answers to all calls out: true ones, or the same wrong total."""
+        """Answers all open calls, late: with their true totals (None), or all with the same wrong one."""
         calls, self.open_calls = self.open_calls, []
         for call in calls:
             self.feed(
@@ -88,7 +95,7 @@
             )
 
     def advance_to(self, now: float) -> None:
-        """Moves on to `now`, firing what comes due and ending attempts whose time has come."""
+        """Moves the clock to `now`, firing timers and ending attempts as they come due."""
         while True:
             timer = min(self.timers, key=lambda t: t.at, default=interface.Timer(math.inf, 0))
             end = min(self.scheduled_ends, key=lambda d: d[0], default=(math.inf, None))
@@ -104,17 +111,19 @@
         self.now = now
 
     def finish_in(self, took: float, end: interface.End = interface.End.OK) -> None:
-        """The newest attempt sent will end so."""
+        """Schedules the end of the newest attempt, in `took` seconds."""
         send = self.sends[-1]
         attempt = self.attempts[send.request]
         outcome = interface.Outcome(send.request, attempt, send.server, end, took, end is interface.End.OK)
         self.scheduled_ends.append((self.now + took, outcome))
 
     def poll(self) -> None:
+        """Has the gateway handle an event that means nothing to it."""
         self.feed(interface.TimerFired(-1))
 
     def request(self, units: float = 1.0, budget: float = 2.0, step: float = 0.0, account: int = 7,
-            spread: int = 2, plan: int = 0, cls: int = 0) -> str:  # fmt: skip
+                spread: int = 2, plan: int = 0, cls: int = 0) -> str:  # fmt: skip
+        """Feeds a new request, advances by `step` seconds and returns its state."""
         self.request_number += 1
         self.states[self.request_number] = "waiting"
         self.feed(interface.Request(self.request_number, cls, plan, account, budget, units, spread))
@@ -123,12 +132,13 @@
         return self.last_state()
 
     def last_state(self) -> str:
+        """State of the newest request: waiting, sent, refused or failed."""
         return self.states[self.request_number]
 
     def finish(
         self, end: interface.End = interface.End.OK, true_units: float | None = None, took: float = 0.1
     ) -> None:
-        """Ends the newest attempt sent."""
+        """Ends the newest attempt now; `took` is the duration that is reported."""
         send = self.sends[-1]
         attempt = self.attempts[send.request]
         self.feed(
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,7 @@
-"""Each guard of the rules is taken out in turn; the checks of test_rules.py must notice."""
+"""Mutation tests: each guard in brain.py is taken out in turn, and the checks of test_rules.py must notice.
+
+GUARDS: the guard's source text, its replacement, and a part of the assertion message that must appear.
+"""
 
 from __future__ import annotations
 
@@ -32,17 +35,15 @@
 
 
 def find_violation(source: str) -> str:
-    """What the random worlds find wrong with a module; empty when nothing."""
+    """The message of the first rule that the module breaks in random worlds; empty if none."""
     module = types.ModuleType("brain_without_a_guard")
     exec(compile(source, "brain", "exec"), module.__dict__)  # noqa: S102
     make_gateway: type[Gateway] = module.Gateway
     for seed in range(12):
         for counter in ("silent", "emptied"):
             try:
-                for plan in (
-                    CEILING,
-                    interface.Plan(rate=50.0, burst=500.0),
-                ):  # the second lets nearly all through
+                # The second plan admits nearly all requests.
+                for plan in (CEILING, interface.Plan(rate=50.0, burst=500.0)):
                     config = settings(classes=CLASSES, plans=(plan,), gateways=2, max_attempts=4)
                     World(seed, 2, counter, config, make_gateway).run(120)
             except AssertionError as error:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Quota decisions, on the module alone."""
+"""Quota decisions of one gateway."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize(("cost", "sent"), [(1.0, True), (2.0, False)])
 def test_papers_example_through_the_gateway(cost: float, sent: bool) -> None:
-    # 3 units of 3 used just before the window turns; a tenth of the next window has passed.
+    # All 3 units were used just before the window ended; a tenth of the next window has passed.
     rig = GatewayRig(settings(plans=(interface.Plan(rate=1.0, burst=3.0),)))
     rig.advance_to(2.99)
     for _ in range(3):
@@ -45,7 +45,7 @@
 
 
 def test_full_burst_after_light_use_is_admitted() -> None:
-    # Light use in the last window, then the full burst: the told store has filled again and holds it all.
+    # Light use in the last window, then the full burst: the token bucket has refilled and holds all of it.
     rig = GatewayRig(settings())
     for at in (0.1, 5.0, 7.9):
         rig.advance_to(at)
@@ -116,7 +116,7 @@
     rig.feed(rig.answer(rig.open_calls.pop()))
     assert rig.last_state() == state
     assert rig.totals[call.name] == before + (2.0 if state == "sent" else 0.0)
-    assert rig.gateway.call_share == 1.0, "one lost total is no sign of pressure"
+    assert rig.gateway.call_share == 1.0, "one lost total is no sign of overload"
 
 
 def test_a_total_lost_twice_is_decided_without() -> None:
@@ -134,7 +134,7 @@
 
 def test_an_account_met_late_has_the_part_of_the_ceiling_refilled_since_the_start() -> None:
     rig = GatewayRig(settings(plans=(PLAN_WITH_CEILING,), use_counter=False))
-    rig.gateway.call_share = 0.0  # nobody is let in by totals meanwhile
+    rig.gateway.call_share = 0.0  # so that no total admits a request
     assert [rig.request(units=1.0, account=1) for _ in range(2)] == ["sent", "refused"]
     rig.finish()
     rig.advance_to(2.0)
@@ -142,8 +142,8 @@
 
 
 def test_requests_admitted_by_a_total_need_no_part_of_the_ceiling() -> None:
-    # Each of four gateways has a quarter of 16 units, and of the slack only where it has just started: inside
-    # a quota of 8 units a second order of 2 was refused there, whatever the total said.
+    # Each of four gateways has a quarter of 16 units, and just after its start only a quarter of the slack.
+    # There, a second request of 2 units was once refused inside a quota of 8, whatever the total said.
     rig = GatewayRig(settings(plans=(PLAN_WITH_CEILING,), gateways=4))
     assert [rig.request(units=2.0, spread=4) for _ in range(5)] == ["sent"] * 4 + ["refused"]
 
@@ -156,7 +156,7 @@
 
 
 def test_accounts_seen_once_are_forgotten() -> None:
-    # Guards the memory: a day has many that never come again.
+    # Bounds the memory: many accounts come once a day, or never again.
     rig = GatewayRig(settings())
     for n in range(200):
         rig.advance_to(n * 0.2)
@@ -168,10 +168,10 @@
 
 
 def test_units_admitted_without_a_call_are_refunded_without_one() -> None:
-    # Guards a pressed counter: each refusal in overload cost it a call, and it never came back.
+    # Each refusal once cost an overloaded counter a call, so that it never recovered.
     rig = GatewayRig(settings(), answering=False, servers=1)
     for n in range(40):
         rig.gateway.call_share = 0.0
         rig.request(account=n % 4)
     assert sum(state == "refused" for state in rig.states.values()) > 20
-    assert rig.call_count <= 1  # the trial
+    assert rig.call_count <= 1  # the probe
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,8 @@
-"""The five rules over random event sequences; a small world checks what the gateway does."""
+"""The rules that no fault may break, checked over random event sequences.
+
+Each request gets one final answer in time; nothing is sent to a draining, gone or banned server; an attempt
+is repeated only where its class allows it; a refusal promises that a repeat does no harm; the ceiling holds.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +46,7 @@
 )
 CEILING = interface.Plan(rate=4.0, burst=16.0, ceiling_rate=6.0, ceiling_burst=24.0, ceiling_slack=4.0,
                  over_worth=0.5, over_cost=0.0)  # fmt: skip
-SLACK = 0.016  # how late a final answer may be
+SLACK = 0.016  # s; how late a final answer may be
 ENDS = [
     interface.End.OK,
     interface.End.ERROR,
@@ -54,29 +58,31 @@
 
 
 class World:
-    """Several gateways in one world that breaks at random; asserts the rules as it goes."""
+    """Gateways, servers and a counter with random faults; asserts the rules on every action."""
 
     def __init__(self, seed: int, gateways: int, counter: str, config: interface.Settings,
                  make_gateway: Callable[[interface.Settings, int], Gateway] = Gateway) -> None:  # fmt: skip
         self.rng, self.settings, self.counter, self.now = random.Random(seed), config, counter, 0.0
-        # Three halls, the gateways spread over them; the servers of a hall drop a keyed repeat together.
+        # Three zones with the gateways spread over them; the servers of a zone drop a keyed repeat together.
         self.gateways = [
             make_gateway(replace(config, gateway_index=n, zone=n % 3), n) for n in range(gateways)
         ]
         self.events: list[tuple[float, int, int, interface.Event]] = []
         self.event_serial = 0
         self.health = {n: interface.Health.READY for n in range(1, 7)}
-        self.told_health = [dict(self.health) for _ in range(gateways)]  # what each gateway has heard
-        # What still needs an answer, until when.
+        self.told_health = [dict(self.health) for _ in range(gateways)]  # as told to each gateway
+        # Requests without a final answer, and their deadlines.
         self.open_requests: dict[int, tuple[interface.Request, float]] = {}
         self.answered: set[int] = set()
-        self.attempts: dict[int, list[tuple[int, float, str]]] = {}  # server, time, out / safe / maybe
-        self.staff_rng = random.Random(seed + 1)  # of staff
-        self.banned: list[set[int]] = [set() for _ in range(gateways)]  # what staff took out of use
+        self.attempts: dict[
+            int, list[tuple[int, float, str]]
+        ] = {}  # server, time, state: out, safe or maybe (ran)
+        self.staff_rng = random.Random(seed + 1)  # for bans
+        self.banned: list[set[int]] = [set() for _ in range(gateways)]  # as told to each gateway
         self.ceiling_room, self.ceiling_room_at = CEILING.ceiling_burst, 0.0
         self.totals: dict[int, float] = {}
         self.sent = 0
-        self.ends, self.durations = ENDS, [0.03, 0.2, 0.9]  # of attempts
+        self.ends, self.durations = ENDS, [0.03, 0.2, 0.9]  # of attempts (s)
         for index in range(gateways):
             entries = tuple(entry(n, cell=n % 2, zone=n % 3) for n in self.health)
             self.schedule(0.0, index, interface.ServerList(interface.ListKind.COMPLETE, entries))
@@ -165,7 +171,7 @@
                 assert (
                     cls.idempotency is interface.Idempotency.SAFE
                     or cls.dedup_scope is interface.DedupScope.ALL
-                ), "refused beyond the group"
+                ), "refused though only some servers drop a repeat"
             self.finish(action.request)
         elif isinstance(action, interface.Fail):
             self.finish(action.request)
@@ -189,9 +195,9 @@
             assert cls.idempotency is interface.Idempotency.KEYED, "sent an unsafe request again"
             assert self.now <= risky[0][1] + cls.dedup_window, "sent again after the window"
             if cls.dedup_scope is interface.DedupScope.CELL:
-                assert action.server % 2 == risky[0][0] % 2, "sent again outside the group"
+                assert action.server % 2 == risky[0][0] % 2, "sent again outside the cell"
             if cls.dedup_scope is interface.DedupScope.ZONE:
-                assert action.server % 3 == risky[0][0] % 3, "sent again outside the hall"
+                assert action.server % 3 == risky[0][0] % 3, "sent again outside the zone"
         if not earlier and self.settings.plans[0].ceiling_rate:
             filled = self.ceiling_room + self.settings.plans[0].ceiling_rate * (
                 self.now - self.ceiling_room_at
@@ -285,7 +291,7 @@
 @pytest.mark.parametrize("gateways", [1, 2, 3, 4])
 @pytest.mark.parametrize("seed", range(4))
 def test_ceiling_holds_for_an_account_that_requests_far_more_all_day(seed: int, gateways: int) -> None:
-    # What totals let in and what is worth sending beyond the quota come to more than either.
+    # Requests admitted by totals and requests worth sending beyond the quota add up.
     world = World(seed, gateways, "well", settings(classes=CLASSES[:1], plans=(CEILING,), gateways=gateways))
     world.ends, world.durations = [interface.End.OK], [0.03]
     for n in range(100_000, 100_500):
@@ -315,7 +321,7 @@
     world.gateways.append(new)
     world.told_health.append(dict(world.told_health[0]))
     world.banned.append(set(world.banned[0]))
-    for n in range(1000, 1060):  # the third gate is the first's successor: together they are one of two
+    for n in range(1000, 1060):  # the third gateway succeeds the first: together they are one of two
         index = n % 3
         world.schedule(
             0.0, index, interface.Request(n, 0, 0, 5, 1.0, 4.0, 2, account_workers=1 if index == 1 else 2)
@@ -338,7 +344,7 @@
 
 @pytest.mark.parametrize("number_of_gateways", [1, 3])
 def test_cold_server_stays_within_the_collapse_limit(number_of_gateways: int) -> None:
-    # Eight servers of one second's work a second at half load, one cold at a fifth: all gateways alike.
+    # Eight servers that do one second's work per second, at half load; one restarts cold at a fifth of that.
     config = settings(
         use_counter=False,
         gateways=number_of_gateways,
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Servers, attempts and overload, on the module alone."""
+"""Choice of servers, attempts, retries and overload, decided by one gateway or by a fleet of them."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 
 
 def free(**changes: object) -> interface.Settings:
+    """Settings without a quota and without a counter."""
     return settings(use_counter=False, plans=(interface.Plan(),), **changes)
 
 
 def serve_one(rig: GatewayRig, took: float = 0.1) -> int:
-    """One request sent and answered; the server that took it."""
+    """Has one request sent and answered; returns its server."""
     assert rig.request(account=rig.request_number + 100) == "sent"
     rig.finish(took=took)
     return rig.sends[-1].server
@@ -38,9 +39,11 @@
 def cold_fleet(
     spread: str, make_gateway: Callable[[interface.Settings, int], Gateway], number_cold: int = 10
 ) -> tuple[bool, float]:
-    """120 gateways, half of them just started; a third of 30 servers comes back cold within a tenth of a
-    second. A warm server does one second's work a second; what is asked is 0.6 of what all warm would do.
-    Whether hardly anything was sent to the cold ones, and the largest share of the fall budget spent."""
+    """120 gateways, half of them just started, and 30 servers of which `number_cold` restart within 0.3 s.
+
+    A warm server does one second's work per second; the load is 0.6 of what all would do if warm. Returns
+    whether hardly anything was sent to the cold ones, and the largest share of the collapse limit reached.
+    """
     config = settings(
         use_counter=False,
         gateways=120,
@@ -88,7 +91,7 @@
 
 
 def test_a_server_that_fails_one_class_is_ejected_for_it_alone() -> None:
-    # A quick failure must not draw more of the class; the other class goes on there.
+    # Failing quickly must not attract more requests of the class; the other class is still sent there.
     rig = GatewayRig(free(classes=TWO))
     first, second = Counter[int](), Counter[int]()
     for n in range(300):
@@ -188,7 +191,7 @@
 
 @pytest.mark.parametrize("number_cold", [20, 27, 30])
 def test_where_nearly_all_servers_are_cold_each_stays_within_the_margin_of_the_rule(number_cold: int) -> None:
-    # All of what the warm ones no longer take fell on them: 2.6 times what they bear, with 30 of 30.
+    # With 30 of 30 cold, the traffic that warm servers would take once fell on them: 2.6 times the limit.
     hardly_any, worst = cold_fleet("even", Gateway, number_cold)
     allowed = 2.5 * 0.16 * 3.0 / 0.15  # requests, at the start
     assert not hardly_any
@@ -205,8 +208,8 @@
 
 
 def test_where_most_servers_are_cold_they_bear_their_part_and_not_the_warm_ones_all() -> None:
-    # Six in ten replaced within seconds: drawn by chance over all, they were sent an eighth of a warm one's
-    # part while the warm ones were overrun and shed.
+    # Six in ten servers replaced within seconds: drawn at random from all, cold ones once got an eighth of a
+    # warm one's part, while the warm ones were overloaded and requests were shed.
     gateway = Gateway(
         settings(
             use_counter=False,
@@ -218,7 +221,7 @@
         ),
         1,
     )
-    # The cold ones are at 0.36 of a whole one.
+    # The cold ones are at 0.36 of their capacity.
     entries = tuple(entry(n, started=96.0 if n <= 36 else 0.0) for n in range(1, 61))
     gateway.handle(100.0, [interface.ServerList(interface.ListKind.COMPLETE, entries)])
     sent = [0, 0]
@@ -232,7 +235,7 @@
 
 
 def decision_cost(servers: int, idle: int, monkeypatch: pytest.MonkeyPatch) -> int:
-    """Servers looked at and customers brought up to date for 200 requests and their housekeeping."""
+    """Number of servers examined and accounts advanced for 200 requests and their housekeeping."""
     rig = GatewayRig(settings(plans=(interface.Plan(rate=50.0, burst=100.0),)), servers=servers)
     for n in range(idle):
         rig.request(account=10_000 + n)
@@ -270,7 +273,7 @@
 def test_an_overloaded_counter_is_not_called_again_for_an_account_just_refused() -> None:
     rig = GatewayRig(settings())
     assert [rig.request(units=4.0) for _ in range(2)] == ["sent", "sent"]
-    rig.gateway.call_failed()  # one failure: pressed
+    rig.gateway.call_failed()  # now taken as overloaded
     before = rig.call_count
     assert [rig.request(units=4.0) for _ in range(20)] == ["refused"] * 20
     assert rig.call_count <= before + 3
@@ -306,11 +309,11 @@
         rig.advance_to(rig.now + 0.001)
         assert rig.request() == "sent"
         rig.finish(took=0.001)
-    assert sum(rig.totals.values()) == pytest.approx(400, abs=8), "exactly, not by standing for others"
+    assert sum(rig.totals.values()) == pytest.approx(400, abs=8), "each request counts itself, and no others"
 
 
 def test_a_share_below_one_request_is_granted_by_chance_and_the_refusal_holds() -> None:
-    # No counter answer, 200 gateways: one customer's tries are neither all let in nor tried till let in.
+    # 200 gateways, no counter: an account's requests are neither all admitted, nor repeated until one is.
     rig = GatewayRig(settings(gateways=200), answering=False)
     gateway = rig.gateway
     gateway.call_share, gateway.counter_quick, gateway.admit_shares = 0.0, False, [0.5, 0.5]
@@ -409,7 +412,7 @@
 
 @pytest.mark.parametrize(("servers", "ejected"), [(60, True), (4, False)])
 def test_one_error_ejects_a_server_that_is_rarely_used(servers: int, ejected: bool) -> None:
-    # One of forty gateways meets each of 60 servers once in seconds: three errors in a row never came about.
+    # One of forty gateways uses each of 60 servers once in seconds: it never saw three errors in a row.
     rig = GatewayRig(settings(use_counter=False, plans=(interface.Plan(),)), servers=servers)
     for n in range(200):
         rig.advance_to(n * 0.2)
@@ -424,7 +427,7 @@
 
 
 def test_a_kept_connection_is_preferred_to_opening_one() -> None:
-    # Forty gateways with little traffic opened one for every second order; each costs a server work.
+    # Forty gateways with little traffic opened one for every second request; each costs a server work.
     rig = GatewayRig(settings(use_counter=False, plans=(interface.Plan(),)), servers=2)
     rig.gateway.servers[2].connection_used_at = rig.now
     for n in range(5):
@@ -434,8 +437,8 @@
 
 
 def test_a_gateway_that_sheds_all_notices_the_end_of_the_load() -> None:
-    # With nothing sent on nothing new is learnt: late answers of a burst kept one of forty gateways shedding
-    # nearly all for ten seconds after the servers were idle.
+    # A gateway that sends nothing observes nothing: after a burst, its late answers once kept one of forty
+    # gateways shedding nearly all for ten seconds, with the servers idle.
     rig = GatewayRig(settings(use_counter=False, plans=(interface.Plan(),)))
     gateway = rig.gateway
     gateway.shed, gateway.answered, gateway.aim_ratios, gateway.late, gateway.overdue = (
@@ -464,7 +467,7 @@
 
 
 def test_a_gateway_with_little_traffic_calls_a_recovered_counter_within_seconds() -> None:
-    # One of forty has a few answers a second: growing by answers alone, what asks took ten seconds to return.
+    # One of forty gets few answers: if it grew by answers alone, its call share took ten seconds to recover.
     rig = GatewayRig(settings())
     rig.gateway.call_failed()
     rig.gateway.call_share = 0.05
@@ -476,14 +479,14 @@
 
 
 def test_a_shed_request_does_not_shut_its_account_out() -> None:
-    # Forty gateways meet each customer rarely: a refusal that no total has spoken for is not the next one's.
+    # Forty gateways see each account rarely: only a refusal by a total denies the account's next request.
     rig = overloaded_after_counter_failure()
     refused = [n for n in range(60) if rig.request(account=n) == "refused"]
     assert len(refused) > 45
     for _ in range(len(rig.sends)):
         rig.finish()
     rig.gateway.shed = rig.gateway.late = rig.gateway.aim_ratios = rig.gateway.overdue = 0.0
-    assert rig.gateway.call_share < 1.0  # the counter is still pressed
+    assert rig.gateway.call_share < 1.0  # the counter is still taken as overloaded
     before = rig.call_count
     for n in refused[:20]:
         if rig.request(account=n) == "sent":
@@ -492,7 +495,7 @@
 
 
 def test_a_healthy_counter_that_is_far_away_is_called_for_all() -> None:
-    # It stands in another hall: each answer takes over QUICK of the time-out, and none is missed.
+    # In another zone, each answer takes more than QUICK_ANSWER_SHARE of the timeout, but none is late.
     rig = GatewayRig(settings(), answering=False)
     rig.gateway.call_failed()
     for n in range(200):
@@ -508,10 +511,10 @@
 
 @pytest.mark.parametrize("fault", ["none", "kept", "all", "late"])
 def test_connections_that_die_while_kept_are_not_used(fault: str) -> None:
-    # From 20 s on what is sent on an idle kept connection is lost; or one in three everywhere; or one in
-    # twenty is answered after its aim.
+    # From 20 s on, "kept" loses what is sent on an idle kept connection, and "all" one in three anywhere.
+    # "late" answers one in twenty after its aim.
     rig, rng = GatewayRig(free(max_attempts=1), servers=40), random.Random(5)
-    idle_since: dict[int, float] = {}  # since when idle
+    idle_since: dict[int, float] = {}  # by server
     ends = {(connection, late): [0, 0] for connection in ("kept", "new", "busy") for late in (False, True)}
     for n in range(600):
         rig.advance_to(rig.now + 0.1)
@@ -538,7 +541,7 @@
 
 @pytest.mark.parametrize(("answers", "sheds"), [("quick", False), ("slow", True), ("none", True)])
 def test_lost_attempts_are_load_only_where_answers_are_slow_or_missing(answers: str, sheds: bool) -> None:
-    # One in three attempts is never answered; the others in a tenth of the aim, in half of it, or not either.
+    # One in three attempts gets no answer; the others get one in a tenth or half of the aim, or none either.
     rig = GatewayRig(free(max_attempts=1), servers=40)
     for n in range(600):
         rig.advance_to(rig.now + 0.05)
@@ -589,7 +592,7 @@
         assert final in [rig.request(account=n) for n in range(20)]
     elif path == "no server fits":
         assert [rig.request(account=n) for n in range(9)][-1] == final
-    elif path == "no server listed":  # it waits for one for half its aim, and no longer
+    elif path == "no server listed":  # it waits for one for half its aim
         assert rig.request() == "waiting"
         rig.advance_to(0.5)
         assert rig.last_state() == final
@@ -611,7 +614,7 @@
 
 
 def test_what_healthy_servers_have_no_room_for_is_not_sent_to_an_ejected_one() -> None:
-    # Guards against a server that is quick to fail: ejected, it still got nine attempts of ten in overload.
+    # A server that failed quickly once got nine attempts of ten in overload, although it was ejected.
     rig = GatewayRig(settings(plans=(interface.Plan(rate=1000.0, burst=1000.0),)), servers=2)
     rig.advance_to(5.0)
     rig.gateway.servers[2].failures = {0: [1.0, 1e9, 8.0]}
@@ -636,7 +639,7 @@
         serve_one(rig)
     own = sum(s.server % 3 == 1 for s in rig.sends) / len(rig.sends)
     assert own > 0.9 if price else 0.2 < own < 0.5
-    # Busy: what the own hall has no room for goes to the others, and nothing is refused.
+    # Busy: what the own zone has no room for goes to the others, and nothing is refused.
     states = [rig.request(account=500 + n) for n in range(24)]
     crossed = {s.server % 3 for s in rig.sends[-states.count("sent") :]}
     assert states.count("sent") == 24 and crossed == {0, 1, 2}
@@ -645,11 +648,11 @@
 def test_a_healthy_counter_is_not_called_for_repeats_before_the_bucket_has_room() -> None:
     rig = GatewayRig(settings())
     assert [rig.request(units=4.0) for _ in range(2)] == ["sent", "sent"]
-    assert rig.request(units=4.0) == "refused"  # by the counter's total: added and taken back
+    assert rig.request(units=4.0) == "refused"  # by the counter's total: added, then refunded
     before = rig.call_count
     assert [rig.request(units=4.0, step=0.01) for _ in range(20)] == ["refused"] * 20
     assert rig.call_count == before
-    rig.advance_to(rig.now + 2.5)  # the store has room again for one: the counter is asked once more
+    rig.advance_to(rig.now + 2.5)  # the bucket has room for one again
     rig.request(units=4.0)
     assert rig.call_count > before
 
@@ -662,14 +665,14 @@
     assert rig.request(units=4.0) == "refused"
     rig.gateway.call_share, rig.gateway.counter_quick = 0.3, False
     assert rig.request(units=1.0) == "refused"
-    # 1.8 units have come back; the refusal is a quarter of a window old in 0.1 s.
+    # 1.8 units have been refilled, while the refusal still stands for 0.1 s (a quarter of a window in all).
     rig.advance_to(rig.now + 0.9)
     assert rig.request(units=1.0) == "sent"
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
 def test_a_server_that_starts_while_we_serve_is_cold_whatever_the_clocks_say(step: float) -> None:
-    # Our clock is an hour ahead of the list's, or an hour behind it.
+    # Our clock is an hour ahead of the server list's, or an hour behind it.
     rig = GatewayRig(free(slow_start_duration=16.0, slow_start_share=0.15), servers=3)
     rig.advance_to(10_000.0)
     rig.feed(interface.ServerList(interface.ListKind.CHANGES, (entry(4, started=rig.now - step),)))
@@ -684,7 +687,7 @@
     rig.feed(interface.ServerList(interface.ListKind.CHANGES, (entry(4, started=10_000.0 - step),)))
     rig.advance_to(rig.now + 8.0)
     rig.feed(interface.ServerList(interface.ListKind.CHANGES, ()))
-    # Named again under a start that is known: by our clock's word it is long warm, or still to start.
+    # Listed again with a known start: by our clock, it was long ago, or is still to come.
     assert gateway.capacity(gateway.servers[4]) == (1.0 if step > 0 else pytest.approx(0.575))
 
 
