--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -15,7 +15,8 @@
 
 # --- constants (times in seconds, unless a share of a setting) -------------------------------------------
 COUNTER_WAIT_SHARE = 0.6  # of counter_timeout: a healthy answer takes a tenth of it, and a client is waiting
-MAX_COUNTER_WAIT_SHARE, COUNTER_WAIT_AIM_SHARE = 0.95, 0.035  # of it, of the aim: harmless below both
+# A busy counter is waited for longer, up to the lesser of these: that does no harm.
+MAX_COUNTER_WAIT_SHARE, COUNTER_WAIT_AIM_SHARE = 0.95, 0.035  # of counter_timeout; of the aim
 QUICK_ANSWER_SHARE = 0.3  # of counter_timeout: quicker answers, or any within twice the least time, show room
 CALL_SHARE_STEP, CALL_SHARE_CUT = 0.03, 0.7  # added by a quick answer; factor after a failed call
 CALL_SHARE_RISE = 0.2  # added per second while the newest is quick: one gateway of many has few answers
@@ -43,7 +44,7 @@
 SHED_START, SHED_FULL = 0.3, 0.8  # of the aim: expected times between these shed more and more requests
 LOST_TIME_FACTOR = 4.0  # times the usual time: an attempt given up sooner may just be slow for its client
 LATE_SHARE_TARGET = 0.25  # share of recent ends late or lost: shedding grows above it, shrinks below
-SHED_RISE, SHED_FALL = 0.5, 3.0  # times that excess, per second: attempts sent before the shedding end late
+SHED_RISE, SHED_FALL = 0.5, 3.0  # times that excess, per s: attempts sent before the shedding still end late
 LOAD_DECAY_TIME = 3.0  # s, time constant of the load: long for one gateway's traffic, short beside an outage
 SHED_WEIGHT = 0.4  # calm outcomes that a shed request counts as, so that old observations fade
 PRIOR_OUTCOMES = 1.5  # calm outcomes, at half of SHED_START, that one gateway's few outcomes are mixed with
@@ -99,12 +100,12 @@
     """A server as this gateway sees it; all times by the gateway's clock.
 
     `returned_at`: when a ban was lifted, 0: never. `connection_used_at`: when a connection last worked there.
-    `slowdown`: its time over the usual. `in_flight`: start by request and attempt, infinite: not yet."""
+    `slowdown`: time over the usual. `in_flight`: start by request and attempt; infinite: body not sent."""
 
     def __init__(self, entry: interface.ServerEntry, now: float, start: float, returned: float = 0.0) -> None:
         self.entry, self.slowdown, self.returned_at = entry, 1.0, returned
         self.started_at = start
-        self.failures: dict[int, list[float]] = {}  # by class: failed share, ejected until, next time
+        self.failures: dict[int, list[float]] = {}  # by class: failed share, ejected until, next ejection (s)
         self.in_flight: dict[tuple[int, int], float] = {}
         self.last_ok_at, self.connection_used_at, self.queue_length = now, -math.inf, 0.0
 
@@ -313,7 +314,7 @@
             else:
                 self.counter_min_time = min(event.duration, self.counter_min_time * 1.01)
                 self.counter_quick = event.duration < max(self.settings.counter_timeout * QUICK_ANSWER_SHARE,
-                                                      2 * self.counter_min_time)  # fmt: skip
+                                                          2 * self.counter_min_time)  # fmt: skip
                 self.call_share = (min(1.0, max(MIN_CALL_SHARE, self.call_share + CALL_SHARE_STEP))
                                    if self.counter_quick else self.call_share * CALL_SHARE_SLOW)  # fmt: skip
             total = self.apply_total(account, call, max(0.0, event.total), max_drop)
@@ -604,7 +605,7 @@
 
     # --- attempts ----------------------------------------------------------------------------------------
     def may_send(self, req: PendingRequest) -> bool:
-        """Whether an attempt is allowed by effect, idempotency window, number of attempts and deadline."""
+        """Whether an attempt is allowed by idempotency, dedup window, number of attempts and deadline."""
         if req.final or req.streaming or len(req.attempts) >= self.settings.max_attempts:
             return False
         if self.now >= req.deadline - self.settings.tick:
@@ -855,7 +856,7 @@
             account.advance(self.now)
             if not account.uncounted or self.now - account.uncounted_since > DEFER_WINDOWS * account.window_s:
                 del self.uncounted[account.id]
-                if account.uncounted and self.call_share >= 1:  # else they wait for a call, or lapse
+                if account.uncounted and self.call_share >= 1:  # if overloaded, they wait or lapse
                     self.call_counter(account, 0.0, None)
         while self.accounts:
             account = next(iter(self.accounts.values()))
