--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -58,7 +58,7 @@
     "headroom",
 )
 ACCOUNT_FLAGS = ("prev_known", "stale")
-SERVER_FIELDS = ("time_ratio", "queue_length", "last_ok_at", "returned_at")
+SERVER_FIELDS = ("slowdown", "queue_length", "last_ok_at", "returned_at")
 
 
 class SnapshotError(Exception):
@@ -81,7 +81,7 @@
             for server_id, server in gateway.servers.items()
         ],
         "customers": [
-            [account.id, plans.index(account.plan), account.spread // account.parts, account.parts,
+            [account.id, plans.index(account.plan), account.spread // account.workers, account.workers,
              account.window, [getattr(account, name) for name in ACCOUNT_FIELDS],
              [getattr(account, name) for name in ACCOUNT_FLAGS]]
             for account in accounts
@@ -166,7 +166,7 @@
     for server_id, started, values, failures in servers:
         server = gateway.servers.get(server_id)
         if server is not None and server.entry.started == started:
-            server.time_ratio, server.queue_length, server.last_ok_at, server.returned_at = values
+            server.slowdown, server.queue_length, server.last_ok_at, server.returned_at = values
             server.failures = failures
 
 
