--- a/tests/test_crossings_upstream.py
+++ b/tests/test_crossings_upstream.py
@@ -112,7 +112,9 @@
     SETTINGS_WITHOUT_COUNTER,
     classes=(
         SETTINGS_WITHOUT_COUNTER.classes[0],
-        replace(SETTINGS_WITHOUT_COUNTER.classes[1], idempotency=interface.Idempotency.KEYED, dedup_window=0.3),
+        replace(
+            SETTINGS_WITHOUT_COUNTER.classes[1], idempotency=interface.Idempotency.KEYED, dedup_window=0.3
+        ),
     ),
 )
 
--- a/tests/test_line_states.py
+++ b/tests/test_line_states.py
@@ -114,7 +114,9 @@
 
     @precondition(lambda self: self.has_any(ConnectionState.BUSY))
     @rule(
-        pick=st.integers(0, 9), end=st.sampled_from([End.OK, End.ERROR, End.REJECTED]), keep_alive=st.booleans()
+        pick=st.integers(0, 9),
+        end=st.sampled_from([End.OK, End.ERROR, End.REJECTED]),
+        keep_alive=st.booleans(),
     )
     def answer(self, pick: int, end: End, keep_alive: bool) -> None:
         connection_id = self.pick_connection(ConnectionState.BUSY, pick)
