--- a/opalgauge/memory/bans.py
+++ b/opalgauge/memory/bans.py
@@ -1,4 +1,4 @@
-"""Bans as plain values, as they pass between two processes of one ingress. No I/O, no clock."""
+"""Bans as plain values, for the handover between two processes of one ingress. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 
 class InvalidBans(ValueError):
-    """What was told is no list of bans."""
+    """The values are no list of bans; the message names the type of the error."""
 
 
 def bans_to_plain(bans: Iterable[BanStatus]) -> list[list[Any]]:
+    """Each ban as a list that JSON can hold: name, server ID, whether it is banned, Unix time in seconds."""
     return [[ban.name, ban.server_id, ban.banned, ban.at.timestamp()] for ban in bans]
 
 
 def bans_from_plain(plain: Any) -> tuple[BanStatus, ...]:
-    """Raises InvalidBans where that is no list of bans."""
+    """The inverse of `bans_to_plain`; None gives no bans. Raises InvalidBans for what is no list of bans."""
     try:
         return tuple(
             BanStatus(str(name), int(server_id), bool(banned), datetime.fromtimestamp(float(at), UTC))
--- a/opalgauge/memory/drain.py
+++ b/opalgauge/memory/drain.py
@@ -1,6 +1,6 @@
-"""The last seconds of a process that was asked to stop, derived from one instant.
+"""The schedule of a process that was asked to stop, derived from the earliest time at which SIGKILL may come.
 
-That instant is the earliest at which the platform may send SIGKILL. Pure: no I/O and no clock.
+No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -11,40 +11,42 @@
 
 from starlinggap.interface import RequestClass
 
-# The platform kills no sooner after SIGTERM than the deployment's longest deadline, counted as 3 s where it
-# is longer, and 0.7 s.
+# The platform sends SIGKILL no sooner after SIGTERM than the deployment's longest deadline plus 0.7 s. A
+# deadline above 3 s counts as 3 s.
 MAX_COUNTED_DEADLINE = timedelta(seconds=3)
 KILL_SLACK = timedelta(milliseconds=700)
-MAX_STALL = timedelta(milliseconds=150)  # a process may stand still so long between its clock and its write
-ANSWER_MARGIN = MAX_STALL + timedelta(milliseconds=100)  # before the kill: every request has its answer
-EXIT_MARGIN = timedelta(milliseconds=100)  # before the kill: streams are cut so that their clients can tell
-ACCEPT_TIME = timedelta(milliseconds=550)  # new connections are dealt out for up to 400 ms after SIGTERM
-# Where another process takes new connections, clients may use the ones they have for so long at most, and for
-# no more than that share of the time up to the kill: what comes last needs time for its answer.
+# A process may be stalled so long between reading its clock and writing an answer.
+MAX_STALL = timedelta(milliseconds=150)
+ANSWER_MARGIN = MAX_STALL + timedelta(milliseconds=100)  # before SIGKILL: all open requests are answered
+EXIT_MARGIN = timedelta(milliseconds=100)  # before SIGKILL: streams are reset and the process exits
+# For so long clients are accepted: the platform still sends new connections up to 400 ms after SIGTERM.
+ACCEPT_TIME = timedelta(milliseconds=550)
+# Where another process accepts new clients, those that are connected may send requests for `MAX_GRACE`, but
+# for no more than `GRACE_SHARE` of the time up to SIGKILL: the last requests need time for their answers.
 MAX_GRACE = timedelta(milliseconds=2500)
 GRACE_SHARE = 2 / 3
 
 
 def min_time_to_kill(classes: Iterable[RequestClass]) -> timedelta:
-    """The least time between SIGTERM and SIGKILL."""
+    """The least time between SIGTERM and SIGKILL, given the deployment's request classes."""
     longest = max(timedelta(seconds=c.deadline) for c in classes)
     return min(longest, MAX_COUNTED_DEADLINE) + KILL_SLACK
 
 
 @dataclass(frozen=True, slots=True)
 class DrainSchedule:
-    """When a process that is draining does what, at the latest."""
+    """The latest times for the steps of a drain, in their order."""
 
-    close_idle: datetime  # accept no more connections and end those over which nothing is owed
-    answer_all: datetime  # answer every request that is still open, whatever it waits for
-    exit: datetime  # cut long answers and exit
-    kill: datetime  # SIGKILL may come
+    close_idle: datetime  # stop accepting clients, and close those without an open request
+    answer_all: datetime  # answer every request that is still open
+    exit: datetime  # reset streamed answers, and exit
+    kill: datetime  # from here on SIGKILL may come
 
     @classmethod
     def starting_at(cls, asked_at: datetime, min_to_kill: timedelta, has_successor: bool) -> DrainSchedule:
-        """Of a process that was asked at `asked`, to be killed `least` later at the earliest.
+        """The schedule of a process that is asked to stop at `asked_at`.
 
-        `successor`: another process takes new connections.
+        `min_to_kill` is the least time until SIGKILL. With `has_successor`, another process accepts clients.
         """
         kill = asked_at + min_to_kill
         open_for = min(MAX_GRACE, min_to_kill * GRACE_SHARE) if has_successor else ACCEPT_TIME
--- a/opalgauge/memory/effects.py
+++ b/opalgauge/memory/effects.py
@@ -1,4 +1,7 @@
-"""What the reducer asks of the wire. Effects are carried out in the order in which they are listed."""
+"""The reducer's effects: what it asks of the wire and the admin endpoint, and what it reports to other parts.
+
+Effects are carried out in the order in which the reducer returns them.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class Destination(Enum):
-    """Whom a connection leads to."""
+    """What an outgoing connection leads to."""
 
     SERVER = "stock node"
     QUOTA_COUNTER = "quota counter"
@@ -20,7 +23,7 @@
 
 
 class Reason(Enum):
-    """Why a request was answered as it was, or a connection closed; for the record of what has happened."""
+    """Why a request was answered as it was, or a connection closed; shown in the record of recent events."""
 
     UNSPECIFIED = "-"
     SERVED = "a server answered"
@@ -44,12 +47,14 @@
 
 
 def reason_field(default: Reason = Reason.UNSPECIFIED) -> Any:
-    """A field that two equal effects may differ in."""
+    """A dataclass field for a Reason; effects that differ only in it are equal."""
     return field(default=default, compare=False)
 
 
 @dataclass(slots=True)
 class OpenConnection:
+    """Open a connection. The event is `ConnectionOpened`, or `ConnectionLost` if it cannot be opened."""
+
     connection_id: int
     destination: Destination
     address: str
@@ -57,7 +62,7 @@
 
 @dataclass(slots=True)
 class CloseConnection:
-    """Ends the connection at once; nothing more is reported of it."""
+    """Close a connection at once; no further event is reported of it."""
 
     connection_id: int
     reason: Reason = reason_field()
@@ -65,20 +70,24 @@
 
 @dataclass(slots=True)
 class SendAttempt:
+    """Send a request to a server over an open connection."""
+
     connection_id: int
     http_request: HttpRequest
-    time_left: timedelta
+    time_left: timedelta  # that the server is told it has
     request_id: int = 0
 
 
 @dataclass(slots=True)
 class SendProbe:
+    """Ask a server for its load report over an open connection."""
+
     connection_id: int
 
 
 @dataclass(slots=True)
 class CallCounter:
-    """Adds `amount` to a named count; a new name lives for `life`."""
+    """Call the quota counter: add `amount` to a named count, which is created with a lifetime of `ttl`."""
 
     connection_id: int
     name: int
@@ -88,34 +97,31 @@
 
 @dataclass(slots=True)
 class AskServerList:
-    """Asks for what is newer than `since`, or for the whole list where that is None."""
+    """Ask the discovery agent for the server list."""
 
     connection_id: int
-    since_version: int | None
-    wait: timedelta
+    since_version: int | None  # only for what is newer; None: for the complete list
+    wait: timedelta  # the agent answers within this time, even if nothing is newer
 
 
 @dataclass(slots=True)
 class AnswerClient:
-    """The one final answer to an order. `last`: the client's connection ends with it.
-
-    `flow`: the body comes over that connection and is passed on as it does; `length`: its bytes, where told.
-    """
+    """Give a client the one final answer to its request."""
 
     request_id: int
     status: int
     body: bytes = b""
     content_type: str = ""
     retry_after: timedelta | None = None
-    close_connection: bool = False
-    stream_connection_id: int = 0
-    length: int | None = None
+    close_connection: bool = False  # the client's connection ends with this answer
+    stream_connection_id: int = 0  # the body is streamed from this server connection; 0: it is `body`
+    length: int | None = None  # bytes of a streamed body, where the server has told
     reason: Reason = reason_field()
 
 
 @dataclass(slots=True)
 class DelegateRequest:
-    """Hands an order to the core that decides about it."""
+    """Hand a request to the worker that decides about it."""
 
     worker: int
     received: RequestReceived
@@ -123,7 +129,7 @@
 
 @dataclass(slots=True)
 class WithdrawRequest:
-    """Tells that core that nobody waits for the order any more."""
+    """Tell the worker that decides about a request that nobody waits for it any more."""
 
     worker: int
     request_id: int
@@ -131,9 +137,9 @@
 
 @dataclass(slots=True)
 class CloseClient:
-    """Ends a client's connection, over which nothing is owed.
+    """Close a client's connection that has no open request.
 
-    What has come over it and was not read is waited for, unless there is no room for it (`crowded`).
+    One over which unread bytes have come is kept, as they may be a request, but not with `immediately`.
     """
 
     client_id: int
@@ -143,41 +149,44 @@
 
 @dataclass(slots=True)
 class AbortClient:
-    """Ends a client's connection in the middle of a long answer, so that the client can tell."""
+    """Reset a client's connection in the middle of a streamed answer, so that it does not look complete."""
 
     client_id: int
 
 
 @dataclass(slots=True)
 class StopReadingBodies:
-    """Requests whose bodies have not come whole, and that became no order, are answered as such."""
+    """Stop reading the bodies of requests that were not reported as `RequestReceived`, and answer those."""
 
 
 @dataclass(slots=True)
 class WakeAt:
-    """Replaces the wake-up asked for before."""
+    """Report `WakeUpDue` at this time. Replaces the wake-up asked for before."""
 
     at: datetime
 
 
 @dataclass(slots=True)
 class StopAccepting:
-    """Accept no more clients for now; those that are here stay."""
+    """Accept no more clients for now; those that are connected stay."""
 
 
 @dataclass(slots=True)
 class ResumeAccepting:
-    """The other process takes no more clients: those that wait are accepted."""
+    """Accept clients again, those that wait included, as no other process does any more."""
 
 
 @dataclass(slots=True)
 class StopListening:
-    """Accept no more clients and close the connections that stand idle."""
+    """Accept no more clients for good.
+
+    Those that already wait are accepted, unless another process listens at the same socket.
+    """
 
 
 @dataclass(slots=True)
 class AnswerStaff:
-    """The answer to a call at the admin endpoint."""
+    """Answer a call at the admin endpoint."""
 
     call_id: int
     accepted: bool
@@ -186,33 +195,33 @@
 
 @dataclass(slots=True)
 class PersistBans:
-    """What staff have said of stock nodes is to outlive this process. To be done before they are answered."""
+    """Write all bans to the ban file, so that they outlive this process. Precedes the answer to staff."""
 
     bans: tuple[BanStatus, ...]
 
 
 @dataclass(slots=True)
 class ReportAttempt:
-    """For whoever judges zones: an attempt or a probe has begun (`end` is None) or ended, after `took`."""
+    """Tell the zone watch that an attempt or a probe has begun or ended."""
 
-    key: tuple[int, int]
+    key: tuple[int, int]  # request and attempt number; of a probe 0 and the server
     server_id: int
     zone: int
     class_index: int
-    end: End | None = None
-    duration: timedelta = timedelta(0)
+    end: End | None = None  # None: it has begun
+    duration: timedelta = timedelta(0)  # up to its end
 
 
 @dataclass(slots=True)
 class ReportServers:
-    """For the same: the stock nodes that are listed from now on."""
+    """Tell the zone watch which servers are listed from now on."""
 
     entries: tuple[ServerEntry, ...]
 
 
 @dataclass(slots=True)
 class ReportAccount:
-    """For whoever holds leases of quotas: a request of this account has come."""
+    """Tell the lease holder that a request of this account has come."""
 
     account: int
     plan_index: int
@@ -222,15 +231,17 @@
 
 @dataclass(slots=True)
 class ReplicateBan:
-    """For whoever replicates: staff have said this of a stock node, here."""
+    """Tell the other ingresses that staff have banned a server here, or lifted its ban."""
 
     ban: BanStatus
 
 
 @dataclass(slots=True)
 class AskLeaseHolder:
-    """For the same: the decisions ask for a count. `LeaseHolderAnswered` answers, once and in order for each
-    name."""
+    """Have the lease holder answer a count of the gateway's, in place of the quota counter.
+
+    Each is answered by one `LeaseHolderAnswered`, those of a name in the order in which they were asked.
+    """
 
     name: int
     amount: float
@@ -239,7 +250,7 @@
 
 @dataclass(slots=True)
 class ReportCounterResult:
-    """For the same: what came of a `CounterCallRequested`."""
+    """Tell the lease holder the result of a `CounterCallRequested`."""
 
     token: int
     end: End
@@ -248,11 +259,13 @@
 
 @dataclass(slots=True)
 class Exit:
-    """Nothing is owed any more: the program can end."""
+    """End the process: nothing is owed to anybody any more, or SIGKILL is near."""
 
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/opalgauge/memory/events.py
+++ b/opalgauge/memory/events.py
@@ -1,6 +1,10 @@
-"""What has happened: everything that the wire reports to the reducer.
+"""The reducer's events: everything that sockets, timers, staff and other processes report to it.
 
-A failure is a value too: it says how far the exchange had come, and nothing else decides what it means.
+An event says what has happened and decides nothing. A failure is an event, too: it says how far the exchange
+had come, and that alone decides whether the request may have run.
+
+Connections to servers, to the quota counter and to the discovery agent are named by `connection_id`, which
+the reducer chose in the effect `OpenConnection`; clients' connections by `client_id`, which the wire chose.
 """
 
 from __future__ import annotations
@@ -18,53 +22,55 @@
     """How far an exchange had come when its connection ended."""
 
     CONNECTING = "connecting"
-    WRITING = "writing"
-    WRITTEN = "written"
-    ANSWERING = "answering"
+    WRITING = "writing"  # at least one byte of the request has not left
+    WRITTEN = "written"  # the whole request has left
+    ANSWERING = "answering"  # at least one byte of the answer has come
 
     @property
     def end(self) -> End:
-        """Up to the request's last byte nothing can have run; from then on it may have."""
+        """How the attempt ended: until its last byte has left it cannot have run, after that it may have."""
         return End.CONNECT_FAILED if self in (Progress.CONNECTING, Progress.WRITING) else End.RESET
 
 
 @dataclass(slots=True)
 class HttpRequest:
-    """What a stock node is to be asked, as the client worded it."""
+    """A client's HTTP request as it is forwarded to a server."""
 
     method: str
     target: str
     correlation_id: str
-    headers: tuple[
-        tuple[str, str], ...
-    ]  # the client's headers that go on unchanged: the body's kind, its key
-    body: bytes  # whole, or its beginning where `more` is to come
-    has_more_body: bool = False
-    body_length: int | None = None  # of a body with more to come, where its client has told
+    # The client's headers that are forwarded unchanged: those that describe the body and its idempotency key.
+    headers: tuple[tuple[str, str], ...]
+    body: bytes  # complete, or its beginning with `has_more_body`
+    has_more_body: bool = False  # the rest is streamed from the client to the server
+    body_length: int | None = None  # bytes of such a body, where the client has told
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's whole request has been read."""
+    """A client's request has been read, or the beginning of one with a long body.
+
+    See `starlinggap.interface.Request` for the fields that are passed on to the gateway.
+    """
 
     request_id: int
     http_request: HttpRequest
     class_index: int
     plan_index: int
     account: int
-    time_left: timedelta
+    time_left: timedelta  # that the client still waits for its answer, as it says
     units: float
     account_gateways: int
     first_gateway: int
     is_retry: bool
     client_id: int  # the connection that it came over
-    account_workers: int = 1  # see `starlinggap.interface.Request`
-    exclusive_for: float = math.inf
+    account_workers: int = 1
+    exclusive_for: float = math.inf  # seconds
 
 
 @dataclass(slots=True)
 class RequestDelegated:
-    """A client's whole request has been read, and another core of this ingress decides about it."""
+    """A client's request has been read, and another worker of this ingress decides about it."""
 
     received: RequestReceived
     worker: int
@@ -72,7 +78,7 @@
 
 @dataclass(slots=True)
 class DuplicateRequestId:
-    """A client's request has been read under an id that is open at another core."""
+    """A client's request has been read under a correlation ID that is open at another worker."""
 
     request_id: int
     client_id: int
@@ -80,7 +86,7 @@
 
 @dataclass(slots=True)
 class DelegatedRequestAnswered:
-    """The other core's final answer to an order that was passed to it."""
+    """The other worker's final answer to a request that was delegated to it."""
 
     request_id: int
     status: int
@@ -91,10 +97,10 @@
 
 @dataclass(slots=True)
 class WorkerLost:
-    """Another core is no more. `ran`: the orders passed to it that may have run."""
+    """Another worker has ended, or cannot be reached."""
 
     worker: int
-    may_have_run: frozenset[int]
+    may_have_run: frozenset[int]  # IDs of the requests delegated to it that may have run
 
 
 @dataclass(slots=True)
@@ -106,56 +112,56 @@
 
 @dataclass(slots=True)
 class RequestHeadStarted:
-    """A part of a request's head has come, and the rest has not."""
+    """A part of a request's head has come, but not all of it."""
 
     client_id: int
 
 
 @dataclass(slots=True)
 class RequestBodyStarted:
-    """A request's head is whole and its body is not; the wire sees to it that it does not stall."""
+    """A request's head is complete and its body is not. The wire ends the wait if the body stalls."""
 
     client_id: int
 
 
 @dataclass(slots=True)
 class RequestDiscarded:
-    """A request that became no order has been answered, or all of a body that nobody wants has come."""
+    """A request that was not reported as `RequestReceived` has been answered, or an unwanted body is over."""
 
     client_id: int
 
 
 @dataclass(slots=True)
 class RequestBodyEnded:
-    """The last byte of an order's body has come, of which only the beginning came with the order."""
+    """The last byte of a streamed request body has come; `RequestReceived` held only its beginning."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class RequestBodyStalled:
-    """An order's client has stopped sending its body."""
+    """A client has stopped sending its streamed request body, or has sent one that cannot be forwarded."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """A client's connection has ended, whichever side closed it, and with it whatever was asked over it."""
+    """A client's connection has ended, whichever side closed it. Nobody waits for its request any more."""
 
     client_id: int
 
 
 @dataclass(slots=True)
 class ConnectionOpened:
-    """A connection that was asked for is open."""
+    """A connection that the reducer asked for is open."""
 
     connection_id: int
 
 
 @dataclass(slots=True)
 class ConnectionLost:
-    """A connection ended, or never came up."""
+    """A connection has ended, or could not be opened."""
 
     connection_id: int
     progress: Progress
@@ -163,46 +169,46 @@
 
 @dataclass(slots=True)
 class ConnectionStale:
-    """A kept connection turned out to be over before anything was written to it."""
+    """A kept connection turned out to be closed before anything was written to it."""
 
     connection_id: int
 
 
 @dataclass(slots=True)
 class AnswerPartReceived:
-    """An answer has begun to come, or gone on, and its last byte has not come."""
+    """A part of an answer has come, but not its last byte."""
 
     connection_id: int
 
 
 @dataclass(slots=True)
 class AttemptWriteBlocked:
-    """An attempt's last byte has not left yet: the stock node, or the client behind it, is slow."""
+    """An attempt's last byte has not left yet, because the server reads slowly or the client sends slowly."""
 
     connection_id: int
 
 
 @dataclass(slots=True)
 class AttemptWritten:
-    """The last byte of an attempt that was held has left."""
+    """The last byte has left of an attempt whose write was blocked or whose body was streamed."""
 
     connection_id: int
 
 
 @dataclass(slots=True)
 class StreamedAnswerStarted:
-    """A good answer is too long to be held: it is to be passed on while it comes. `length`: as it says."""
+    """A successful answer is too long to be buffered and has to be streamed to the client."""
 
     connection_id: int
     content_type: str
-    length: int | None
+    length: int | None  # bytes of its body, where the server has told
     load: dict[str, float]
     true_units: float | None = None
 
 
 @dataclass(slots=True)
 class StreamedAnswerReceived:
-    """The last byte of an answer that is being passed on has come from the stock node."""
+    """The last byte of a streamed answer has come from the server."""
 
     connection_id: int
     keep_alive: bool
@@ -210,7 +216,7 @@
 
 @dataclass(slots=True)
 class StreamedAnswerEnded:
-    """An order's client has been given the last byte of its long answer, or the answer broke off."""
+    """A streamed answer has been written to its client, with `complete` to the end; else it broke off."""
 
     request_id: int
     complete: bool
@@ -218,20 +224,20 @@
 
 @dataclass(slots=True)
 class ServerAnswered:
-    """A stock node answered an attempt or a probe. `keep`: the connection can carry another."""
+    """A server has answered an attempt or a probe."""
 
     connection_id: int
     end: End
-    keep_alive: bool
+    keep_alive: bool  # the connection can carry another request
     body: bytes = b""
     content_type: str = ""
-    load: dict[str, float] = field(default_factory=dict)
-    true_units: float | None = None  # what the request was found to take, where the node says so
+    load: dict[str, float] = field(default_factory=dict)  # the server's load report
+    true_units: float | None = None  # what the request did cost, where the server reports it
 
 
 @dataclass(slots=True)
 class CounterAnswered:
-    """The quota counter answered the oldest call on a connection."""
+    """The quota counter has answered the oldest call on a connection."""
 
     connection_id: int
     end: End
@@ -241,7 +247,7 @@
 
 @dataclass(slots=True)
 class ListedServer:
-    """One line of the node list: the entry for the decisions, the address for the wire."""
+    """A server in the server list: its entry for the gateway, its address for the wire."""
 
     address: str
     entry: ServerEntry
@@ -249,27 +255,24 @@
 
 @dataclass(slots=True)
 class ServerListAnswered:
-    """The node list agent answered; `nodes` is None where the answer could not be read.
-
-    `turned_away`: it has answered that it cannot tell now; what it told before still stands.
-    """
+    """The discovery agent has answered a request for the server list."""
 
     connection_id: int
     keep_alive: bool
     version: int = 0
     list_kind: ListKind = ListKind.FAILED
-    servers: tuple[ListedServer, ...] | None = None
-    refused: bool = False
+    servers: tuple[ListedServer, ...] | None = None  # None: the answer could not be read
+    refused: bool = False  # it cannot tell now; the list that it told before stays valid
 
 
 @dataclass(slots=True)
 class WakeUpDue:
-    """The wake-up that was asked for is due."""
+    """The time of the last `WakeAt` has come."""
 
 
 @dataclass(slots=True)
 class AddressesChanged:
-    """The configuration was read again: where the quota counter and the node list are asked from now on."""
+    """The configuration was read again: the addresses of the quota counter and of the discovery agent."""
 
     counter_address: str
     node_list_address: str
@@ -277,36 +280,33 @@
 
 @dataclass(slots=True)
 class ServersConfigured:
-    """The settings name the stock nodes themselves, and no node list agent: the whole list, as read now."""
+    """The settings name all servers themselves, instead of a discovery agent, and were read again."""
 
     servers: tuple[ListedServer, ...]
 
 
 @dataclass(slots=True)
 class DrainRequested:
-    """The process is to stop: its answers close their connections.
-
-    `successor`: another process takes what comes from now on.
-    """
+    """The process is to stop. From now on its answers close their connections."""
 
-    has_successor: bool = False
+    has_successor: bool = False  # another process accepts the clients that connect from now on
 
 
 @dataclass(frozen=True, slots=True)
 class BanStatus:
-    """What staff last said of a stock node, and when: it is out of use, or it is not."""
+    """Whether a server is banned, as staff last said."""
 
     name: str
     server_id: int
     banned: bool
-    at: datetime
+    at: datetime  # time of the command; where two processes know of different ones, the later one holds
 
 
 @dataclass(slots=True)
 class BanChangeRequested:
-    """Staff take a stock node out of use, or give it back; `call` is owed an answer."""
+    """Staff ban a server, or lift its ban."""
 
-    call_id: int
+    call_id: int  # the call at the admin endpoint that `AnswerStaff` answers
     name: str
     server_id: int
     banned: bool
@@ -314,64 +314,65 @@
 
 @dataclass(slots=True)
 class OtherProcessAccepting:
-    """Whether another process of this ingress accepts clients, and goes on doing so."""
+    """Another process of this ingress has begun or ceased to accept clients."""
 
     accepting: bool
 
 
 @dataclass(slots=True)
 class ProcessCountChanged:
-    """So many processes of this ingress are at work: this one, and perhaps one before or after it."""
+    """The number of processes of this ingress has changed, for instance during an upgrade."""
 
-    process_count: int
+    process_count: int  # this one included
 
 
 @dataclass(slots=True)
 class SnapshotReceived:
-    """What the process before this one knows, as `starlinggap.snapshot` gives it."""
+    """The previous process of this ingress has handed over what it knows, see `starlinggap.snapshot`."""
 
     snapshot: Any
 
 
 @dataclass(slots=True)
 class BansReceived:
-    """What staff told this ingress's other process, or one before it; with `keep`, another ingress."""
+    """Bans have come in that staff did not give to this process."""
 
     bans: tuple[BanStatus, ...]
+    # They come from another process or ingress, not from the ban file: what is new of them is written there.
     persist: bool = False
 
 
 @dataclass(slots=True)
 class EjectionsReceived:
-    """Other ingresses have found these bad: stock node, its start, kind of request, until when (Unix s)."""
+    """Other ingresses have ejected servers for their failures."""
 
-    ejections: tuple[tuple[int, float, int, float], ...]
+    ejections: tuple[tuple[int, float, int, float], ...]  # server, its start, class, end; both times Unix s
 
 
 @dataclass(slots=True)
 class ZoneShareChanged:
-    """What the fleet sends to a zone from now on, of a whole one. `trial`: a node to be tried there, or 0."""
+    """The fleet has changed the share of traffic that it sends to a zone."""
 
     zone: int
-    share: float
-    trial_server: int = 0
+    share: float  # of its normal traffic: 0 while it is left, 1 as usual
+    trial_server: int = 0  # a server there to be tried with one probe or request; 0: none
 
 
 @dataclass(slots=True)
 class LeaseHolderAnswered:
-    """Whoever holds leases of quotas answers the decisions' oldest ask for this name."""
+    """The lease holder has answered the gateway's oldest open count of this name, see `AskLeaseHolder`."""
 
     name: int
     total: float
-    duration: timedelta
+    duration: timedelta  # since it was asked
     end: End = End.OK
 
 
 @dataclass(slots=True)
 class CounterCallRequested:
-    """Whoever holds leases has the quota counter called."""
+    """The lease holder wants a call of the quota counter. `ReportCounterResult` tells its result."""
 
-    token: int
+    token: int  # not 0; the result carries it
     name: int
     amount: float
     ttl: timedelta
@@ -379,7 +380,7 @@
 
 @dataclass(slots=True)
 class CloseIdleRequested:
-    """Connections over which nothing is owed are to be closed, and no more accepted."""
+    """No more clients are to be accepted, and those without an open request are to be closed."""
 
 
 Event = (
--- a/opalgauge/memory/signed_datagram.py
+++ b/opalgauge/memory/signed_datagram.py
@@ -1,4 +1,4 @@
-"""What all messages between ingresses have in common: a version, a body, a keyed digest. No I/O."""
+"""The datagram format of messages between ingresses: a version, a body and a keyed digest of both. No I/O."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 T = TypeVar("T")
 
 DIGEST_SIZE = 8  # bytes of BLAKE2b
-MAX_DATAGRAM_SIZE = 256  # bytes: the platform voids a run for a longer datagram
-VERSION_SIZE = 2  # bytes of a datagram, by which its reader is found
+MAX_DATAGRAM_SIZE = 256  # bytes; the platform declares a run void for a longer datagram
+VERSION_SIZE = 2  # bytes at the start of a datagram that select its reader
 
 
 def _digest(body: bytes, secret: bytes) -> bytes:
@@ -20,11 +20,12 @@
 
 
 def sign(version: bytes, body: bytes, secret: bytes) -> bytes:
+    """The datagram for a body. Does not check its size; only the first 64 bytes of `secret` are used."""
     return version + body + _digest(version + body, secret)
 
 
 def verify(data: bytes, version: bytes, secret: bytes) -> bytes | None:
-    """The body; None where the datagram is torn, too long, of another version or sealed otherwise."""
+    """A datagram's body; None if it is torn, too long, of another version or signed with another secret."""
     signed, digest = data[:-DIGEST_SIZE], data[-DIGEST_SIZE:]
     if len(data) > MAX_DATAGRAM_SIZE or not signed.startswith(version):
         return None
@@ -32,7 +33,7 @@
 
 
 def decode(data: bytes, version: bytes, secret: bytes, message_type: type[T]) -> T | None:
-    """What a datagram says, in its form; None where it is torn, foreign or of another form."""
+    """The message in a datagram's body; None if `verify` gives none or it is not of `message_type`."""
     body = verify(data, version, secret)
     if body is None:
         return None
