--- a/opalgauge/memory/events.py
+++ b/opalgauge/memory/events.py
@@ -275,7 +275,7 @@
     """The configuration was read again: the addresses of the quota counter and of the discovery agent."""
 
     counter_address: str
-    node_list_address: str
+    server_list_address: str
 
 
 @dataclass(slots=True)
--- a/opalgauge/memory/reducer.py
+++ b/opalgauge/memory/reducer.py
@@ -290,8 +290,8 @@
 
     def _before_kill(self, when: datetime) -> datetime:
         """`when`, or the instant at which a process that is draining answers all, if that is earlier."""
-        drain = self.state.drain_schedule
-        return when if drain is None else min(when, drain.answer_all)
+        schedule = self.state.drain_schedule
+        return when if schedule is None else min(when, schedule.answer_all)
 
     def _short_retry_after(self) -> timedelta:
         """`Retry-After` of what another process can take at once."""
@@ -1163,8 +1163,8 @@
             for connection in list(state.counter_connections.values()):
                 self._close_connection(connection, Reason.ADDRESS_CHANGED)
                 self._counter_connection_lost(connection)
-        if event.node_list_address != state.server_list_address:
-            state.server_list_address = event.node_list_address
+        if event.server_list_address != state.server_list_address:
+            state.server_list_address = event.server_list_address
             # Guards against versions that another agent counts differently: its whole list is asked for.
             state.list_version, state.list_refusals = None, 0
             if list_connection := state.connections.get(state.list_connection_id):
