--- a/opalgauge/memory/reducer.py
+++ b/opalgauge/memory/reducer.py
@@ -1,7 +1,23 @@
-"""The one reducer: (event, now) -> effects. It hosts the decisions and does no I/O.
-
-Every change of state happens here, those of connections included. The decisions (`Gateway`) hear of it in
-their own terms and say what to do; the reducer keeps the promises that no decision may break.
+"""The reducer takes one event at a time, changes the ingress's state and returns effects to be carried out.
+
+It does no I/O and reads no clock. It owns all state of an ingress, that of connections included, and hosts
+the gateway (`starlinggap.Gateway`), which decides. What the decisions need to know is passed to the gateway
+in its own terms (`starlinggap.interface`), and the actions that it returns are carried out here. The reducer
+enforces the rules that no decision may break: a request gets exactly one final answer, in time; what may have
+run is neither repeated against its class's rules nor reported as refused; connections, requests and buffers
+are bounded.
+
+The way of a request whose body and answer are short:
+
+1. `RequestReceived`: `_open_request` checks the limits, enters the request in `state.requests` and sets the
+   timer that answers it should the gateway fail to. Then the request is passed to the gateway.
+2. The gateway counts it, as a rule, with a Count action: `_count` and `_call_counter` send the call, and the
+   total in `CounterAnswered` goes to the gateway as a CountOutcome. A Refuse action may end the request here.
+3. With a Send action the gateway starts an attempt: `_send` checks that it may start, `_assign_connection`
+   puts it on an idle connection to its server or opens one, and `_write_attempt` writes it.
+4. `ServerAnswered`: `_server_answered` frees the connection, gives the client its answer (`_answer`) and
+   tells the gateway the Outcome (`_end_attempt`). An attempt that fails ends there, too, by way of
+   `_handle_loss` or `_abort_attempt`, and the gateway answers with another Send, a Refuse or a Fail.
 """
 
 from __future__ import annotations
@@ -32,12 +48,18 @@
 from starlinggap import Gateway, interface, snapshot
 
 ZERO = timedelta(0)
-BANS_KEY = "bans"  # in what one process hands to the next
+BANS_KEY = "bans"  # of the bans in what one process hands over to the next
 MICROSECOND = timedelta(microseconds=1)
 
 
 class Reducer:
-    """Holds the books of one ingress and the decisions that it hosts."""
+    """The state of one ingress and the gateway that decides for it.
+
+    `start` is called once and then `step` for each event, one at a time. Both return effects, in the order in
+    which they are to be carried out. Times are wall-clock times; the reducer's never goes back.
+
+    The methods that handle events and actions have their names.
+    """
 
     def __init__(self, config: IngressConfig) -> None:
         self.config = config
@@ -49,13 +71,15 @@
             list_version=config.known_list_version if config.known_servers else None,
         )
         self.gateway = Gateway(config.settings, config.seed)
-        self.random = random.Random(config.seed)  # for what all ingresses would else do at once
+        self.random = random.Random(config.seed)  # spreads what all ingresses would do at the same time
         self.now = datetime.fromtimestamp(0, UTC)
-        self.effects: list[effects.Effect] = []
-        self.gateway_events: list[interface.Event] = []
+        self.effects: list[effects.Effect] = []  # of the current step
+        self.gateway_events: list[interface.Event] = []  # that the gateway has not seen yet
+        # A heap of time, number, callback and its arguments. Timers of the same time run in the order of
+        # their numbers. A timer is not cancelled: its callback checks whether it still applies.
         self.timers: list[tuple[datetime, int, Callable[..., None], tuple[Any, ...]]] = []
         self.timer_count = 0
-        self.wake_up_at: datetime | None = None
+        self.wake_up_at: datetime | None = None  # the time of the last WakeAt, until it has come
         self.event_handlers: dict[type, Callable[[Any], None]] = {
             events.RequestReceived: self._request_received,
             events.RequestDelegated: self._request_delegated,
@@ -109,32 +133,33 @@
             interface.Probe: self._probe,
             interface.Count: self._count,
             interface.Timer: self._set_timer,
-            interface.WatchList: lambda _: None,  # the node list is always watched
+            interface.WatchList: lambda _: None,  # the server list is always watched
         }
 
     def start(self, now: datetime) -> list[effects.Effect]:
-        """The first step: the list as it was last known, and the watch."""
+        """Applies the server list as it was known before the start, and starts to ask for the current one."""
         self.now = now
         self._apply_list(interface.ListKind.CACHED, self.config.known_servers)
-        # Guards a node list that must be asked against a herd of ingresses that start at once.
+        # Ingresses that start at the same time ask one after another, where the list must be asked for.
         self._schedule(now + self.config.list_fleet_turn * self.random.random(), self._open_list_connection)
         self._run_due_timers()
         return self._finish()
 
     def step(self, event: events.Event, now: datetime) -> list[effects.Effect]:
-        """What to do about `event`, which happened at `now`."""
+        """Handles an event that happened at `now`. An earlier `now` than before counts as the one before."""
         self.now = max(now, self.now)
         self._run_due_timers()
         self.event_handlers[type(event)](event)
         return self._finish()
 
     def _finish(self) -> list[effects.Effect]:
+        """Ends a step: lets the gateway decide, exits if a drain is done, and sets the wake-up."""
         while self.gateway_events:
             gateway_events, self.gateway_events = self.gateway_events, []
             for action in self.gateway.handle(self.now.timestamp(), gateway_events):
                 self.action_handlers[type(action)](action)
         state = self.state
-        being_read = state.clients_sending_head or state.clients_sending_body  # requests that are being read
+        being_read = state.clients_sending_head or state.clients_sending_body
         kept_clients = state.clients_new or state.clients_idle or state.clients_waiting
         if (
             state.draining
@@ -146,7 +171,8 @@
         ):
             state.exited = True
             self.effects.append(effects.Exit())
-        # What is due waits a little for an event that takes it along: most of it is due in vain by then.
+        # Due timers run at the next event, and the wake-up comes a little later than the earliest of them:
+        # often an event comes first, and most timers no longer apply when they are due.
         if self.timers and (
             self.wake_up_at is None or self.timers[0][0] + self.config.wake_up_slack < self.wake_up_at
         ):
@@ -157,6 +183,7 @@
 
     # --- time ----------------------------------------------------------------------------------------------
     def _schedule(self, when: datetime, callback: Callable[..., None], *args: Any) -> None:
+        """Calls `callback` in the first step at or after `when`."""
         self.timer_count += 1
         heapq.heappush(self.timers, (when, self.timer_count, callback, args))
 
@@ -166,7 +193,7 @@
             callback(*args)
 
     def _wake_up_due(self, _: events.WakeUpDue) -> None:
-        """What is due has been done, as at every event."""
+        """The due timers have run before, as in every step."""
         self.wake_up_at = None
 
     def _set_timer(self, action: interface.Timer) -> None:
@@ -188,15 +215,15 @@
             self.gateway_events.append(
                 interface.Request(
                     event.request_id, event.class_index, event.plan_index, event.account,
-                    budget.total_seconds(),
-                    event.units, event.account_gateways, event.first_gateway, event.is_retry,
+                    budget.total_seconds(), event.units,
+                    event.account_gateways, event.first_gateway, event.is_retry,
                     event.account_workers * self.state.process_count, event.exclusive_for,
                     event.http_request.has_more_body,
                 )
             )  # fmt: skip
 
     def _request_delegated(self, event: events.RequestDelegated) -> None:
-        """The answer is owed here, with all its guards; the decisions are another core's."""
+        """Another worker decides, but this one owes the answer and enforces the limits and timeouts."""
         if self._open_request(event.received, event.worker) is not None:
             self.effects.append(effects.DelegateRequest(event.worker, event.received))
 
@@ -205,12 +232,12 @@
         if request is not None and request.worker is not None:
             self._answer(
                 event.request_id, event.status, Reason.SERVED, body=event.body,
-                content_type=event.content_type,
-                retry_after=event.retry_after,
+                content_type=event.content_type, retry_after=event.retry_after,
             )  # fmt: skip
 
     def _worker_lost(self, event: events.WorkerLost) -> None:
-        # Guards what may have run at a core that is no more: it is never sent again, nor said to be refused.
+        # What may have run at the lost worker is not sent again, and not answered as refused, which would
+        # invite its client to repeat it.
         for request in [
             request for request in self.state.requests.values() if request.worker == event.worker
         ]:
@@ -227,7 +254,7 @@
         reason: Reason,
         retry_after: timedelta | None = None,
     ) -> None:
-        """A final answer to a request that does not become an order."""
+        """Answers a request that is not entered in `state.requests`."""
         self._clear_client_state(client_id)
         close = self.state.draining
         self.effects.append(
@@ -238,7 +265,11 @@
         self._mark_client_idle(client_id)
 
     def _open_request(self, event: events.RequestReceived, worker: int | None) -> timedelta | None:
-        """Enters an order and its guard; gives the time that the decisions have, or None: turned away."""
+        """Enters a request in `state.requests`, or rejects it.
+
+        Returns the time that the gateway has for it; None: it was rejected. `worker` decides about it, None:
+        the gateway here.
+        """
         config, state = self.config, self.state
         is_first = self._clear_client_state(event.client_id)
         if (
@@ -246,21 +277,20 @@
             or event.http_request.has_more_body
             and self._streams_full()
         ):
-            # Guards against a crowd of clients taking all memory; nothing has run, so a repeat is harmless.
+            # Bounds the memory that a crowd of clients can take. Nothing has run, so a repeat does no harm.
             retry_after = timedelta(seconds=config.settings.max_retry_after)
             state.statistics.refused[event.class_index] += 1
             self._reject(event.request_id, event.client_id, 429, Reason.TOO_MANY, retry_after)
             return None
         if event.http_request.correlation_id in state.open_correlation_ids:
-            # Guards an open order against another client's request under its id: what comes back for one
-            # could not be told from what comes back for the other.
+            # Another open request has this ID: the answers to the two could not be told apart.
             self._reject(event.request_id, event.client_id, 400, Reason.ID_IN_USE)
             return None
         request_class = config.settings.classes[event.class_index]
-        # Guards against clients that claim to wait for an hour: nobody waits longer than a kind's deadline.
+        # A client may claim to wait for an hour; nobody waits longer than the deadline of the class.
         time_left = min(event.time_left, timedelta(seconds=request_class.deadline))
         if state.drain_schedule is not None:
-            # Guards the answer against SIGKILL, which may come before this request's own deadline.
+            # SIGKILL may come before the request's own deadline, and would leave it without an answer.
             time_left = min(time_left, state.drain_schedule.answer_all - self.now)
             if time_left <= ZERO:
                 state.statistics.refused[event.class_index] += 1
@@ -272,7 +302,7 @@
         answer_by = self._fallback_time(time_left)
         budget = max(time_left - config.gateway_margin, time_left / 4)
         has_more_body = event.http_request.has_more_body
-        if has_more_body:  # a request is timed from its last byte
+        if has_more_body:  # its time starts with the last byte of its body
             answer_by = self._before_kill(self.now + config.body_timeout)
         state.requests[event.request_id] = RequestInProgress(
             event.request_id, event.http_request, event.class_index,
@@ -280,21 +310,21 @@
             is_first, worker, time_after_body=time_left if has_more_body else None,
         )  # fmt: skip
         state.clients_waiting[event.client_id] = event.request_id
-        # Guards against decisions that never come: the client gets its answer in any case.
+        # The client gets an answer even if the gateway decides nothing.
         self._schedule(answer_by, self._request_overdue, event.request_id)
         return budget
 
     def _fallback_time(self, time_left: timedelta) -> datetime:
-        """When the guard answers in place of decisions that have not, for a client that waits so long yet."""
+        """When the reducer answers in place of the gateway, for a client that still waits for `time_left`."""
         return self._before_kill(self.now + max(time_left - self.config.fallback_margin, time_left / 2))
 
     def _before_kill(self, when: datetime) -> datetime:
-        """`when`, or the instant at which a process that is draining answers all, if that is earlier."""
+        """`when`, or the time at which a draining process answers all open requests, if that is earlier."""
         schedule = self.state.drain_schedule
         return when if schedule is None else min(when, schedule.answer_all)
 
     def _short_retry_after(self) -> timedelta:
-        """`Retry-After` of what another process can take at once."""
+        """The Retry-After of a request that another process can take at once."""
         return timedelta(seconds=self.config.settings.max_retry_after) / 4
 
     def _client_connected(self, event: events.ClientConnected) -> None:
@@ -303,8 +333,9 @@
             len(state.clients_new) + len(state.clients_sending_head) + len(state.clients_sending_body)
         )
         if not_waiting + len(state.clients_waiting) + len(state.clients_idle) >= config.max_clients:
-            # Guards the limit on sockets against clients that connect and ask nothing: over it, neither a
-            # client nor a stock node could be reached any more. The one that is least missed makes room.
+            # Clients that connect and send nothing must not use up the process's sockets: neither clients nor
+            # servers could be reached any more. The first that matches below is closed to make room; if none
+            # does, the new one is.
             for clients, min_age in (
                 (state.clients_new, config.min_first_request_wait),
                 (state.clients_idle, config.min_keep_alive),
@@ -335,7 +366,10 @@
             self._withdraw(request)
 
     def _clear_client_state(self, client_id: int) -> bool:
-        """Whatever it was: it is no longer one that owes a request. Whether it has had no answer yet."""
+        """Takes a client out of all states in which it owes a request or its rest.
+
+        Returns whether its connection has had no answer yet.
+        """
         state = self.state
         state.clients_new.pop(client_id, None)
         state.clients_sending_head.pop(client_id, None)
@@ -367,13 +401,13 @@
             self._schedule(request.answer_by, self._request_overdue, event.request_id)
 
     def _request_body_stalled(self, event: events.RequestBodyStalled) -> None:
-        # Guards a stock node's connection against a client that stops in the middle of its body.
+        # A client that stops in the middle of its body must not hold up a server's connection.
         if request := self.state.requests.get(event.request_id):
             self._answer(event.request_id, 408, Reason.BODY_STALLED, close=True)
             self._withdraw(request)
 
     def _mark_client_idle(self, client_id: int) -> None:
-        """A client has its answer: its connection waits for the next request."""
+        """The client has its answer, and may send the next request on its connection."""
         self.state.clients_idle[client_id] = self.now
         self._schedule_client_check()
 
@@ -383,8 +417,8 @@
             self._schedule(self.now + self.config.client_check_interval, self._check_clients)
 
     def _check_clients(self) -> None:
-        # Guards against clients that connect and say nothing, stop in the middle of a request, or ask once
-        # and stay: each would hold a socket for good.
+        # Closes the connections of clients that send nothing, stop in the middle of a request's head, or stay
+        # idle after an answer: each would hold a socket for good.
         state, config = self.state, self.config
         state.client_check_scheduled = False
         for clients, timeout in (
@@ -410,7 +444,7 @@
             self._withdraw(request)
 
     def _withdraw(self, request: RequestInProgress) -> None:
-        """Nobody waits for it any more: whoever decides about it hears so."""
+        """Tells the gateway, or the worker that decides about a request, that nobody waits for it."""
         if request.worker is None:
             self.gateway_events.append(interface.ClientGone(request.id))
         else:
@@ -419,7 +453,10 @@
     def _answer(
         self, request_id: int, status: int, reason: Reason, close: bool = False, **fields: Any
     ) -> None:
-        """The one final answer: an order that is answered is no longer held, so there is no second."""
+        """Gives a request its one final answer. It leaves `state.requests`, so that there is no second one.
+
+        `close` ends the client's connection behind the answer; `fields` are further ones of AnswerClient.
+        """
         if request := self.state.requests.pop(request_id, None):
             self.state.open_correlation_ids.discard(request.http_request.correlation_id)
             state = self.state
@@ -434,8 +471,9 @@
                     else statistics.failed
                 )
                 class_counts[request.class_index] += 1
-            # Guards the clients' sockets against a crowd that asks once and stays: while it holds them,
-            # others cannot connect. Connections that are used again and again are left alone.
+            # A crowd of clients that send one request each and stay connected would keep others from
+            # connecting: over a limit, connections end with their first answer. Those with a second request
+            # are kept.
             over_limit = (
                 request.is_first
                 and len(state.clients_waiting) + len(state.clients_idle) > self.config.keep_alive_limit
@@ -458,7 +496,7 @@
         if request is None:
             return
         if request.may_have_run and not request.is_safe:
-            # Guards against a refusal, which invites a repeat, of what may have run and must not run twice.
+            # A refusal invites a repeat, but this request may have run and must not run twice.
             self._answer(request.id, 502, Reason.FAILED)
             return
         retry_after = timedelta(seconds=action.retry_after)
@@ -470,6 +508,7 @@
 
     # --- attempts ------------------------------------------------------------------------------------------
     def _send(self, action: interface.Send) -> None:
+        """Starts an attempt, or tells the gateway that it was not sent."""
         request = self.state.requests.get(action.request)
         number = request.attempt_count if request else 0
         if request:
@@ -481,15 +520,15 @@
             stop_at = request.answer_by
         attempt = Attempt(action.request, number, action.server, self.now, stop_at)
         if request is None or number >= self.config.settings.max_attempts or stop_at <= self.now:
-            # Guards against an attempt for what is over: the decisions hear that it was not sent.
+            # The request has been answered, its attempts are used up, or the time for this one is over.
             self._end_attempt(attempt, interface.End.NOT_SENT)
             return
         if request.body_streamed or not self._may_repeat(request):
-            # Guards against half a body, too: what came after its beginning is not kept to be sent again.
+            # It may have run and must not run again, or only the beginning of its body is still there.
             self._end_attempt(attempt, interface.End.NOT_SENT)
             return
         if not self.config.settings.allow_parallel and request.open_attempts:
-            # Guards against a second attempt while the first is out, whoever asks for it.
+            # No second attempt while the first is open, whatever the gateway decides.
             self._end_attempt(attempt, interface.End.NOT_SENT)
             return
         self.state.attempts[action.request, number] = attempt
@@ -500,7 +539,7 @@
         self._assign_connection(attempt)
 
     def _assign_connection(self, attempt: Attempt) -> None:
-        """Puts an attempt or a probe on an idle connection to its stock node, or on a new one."""
+        """Puts an attempt or a probe on an idle connection to its server, or opens one for it."""
         state = self.state
         server = state.servers.get(attempt.server_id)
         if server is None:
@@ -519,7 +558,7 @@
             state.server_connection_count >= self.config.max_server_connections
             and not self._close_one_idle_connection()
         ):
-            # Guards the limit on sockets: over it, an ingress would no longer accept clients.
+            # Without free sockets the ingress could not accept clients any more.
             self._end_attempt(attempt, interface.End.CONNECT_FAILED)
             return
         connection = self._open_connection(effects.Destination.SERVER, server.address)
@@ -541,17 +580,22 @@
         return None
 
     def _may_repeat(self, request: RequestInProgress) -> bool:
-        """Guards what may have run against running again: a dial may outlast the time in which it may."""
+        """Whether a request may still be sent now.
+
+        Checked again when a connection has opened: that may take longer than the time in which it may run
+        again.
+        """
         return request.repeat_until is None or self.now + MICROSECOND < request.repeat_until
 
     def _write_attempt(self, connection: Connection) -> None:
+        """Writes the attempt or probe that is assigned to an open connection, if it may still be sent."""
         attempt = connection.attempt
         assert attempt is not None
         request = self.state.requests.get(attempt.request_id)
         if attempt.is_probe:
             self.effects.append(effects.SendProbe(connection.id))
         elif request is None or not self._may_repeat(request):
-            # Its client has left, or its time for a repeat is over, while the connection came up.
+            # While the connection was opened, the client left or the time for a repeat ended.
             self._reuse_or_close(connection, True)
             self._end_attempt(attempt, interface.End.NOT_SENT)
         else:
@@ -564,6 +608,7 @@
             )
 
     def _unmark_written(self, attempt: Attempt) -> None:
+        """Takes an attempt out of the statistics, as its last byte has not left after all."""
         if attempt.written:
             attempt.written = False
             self.state.statistics.attempts -= 1
@@ -589,7 +634,7 @@
         load: dict[str, float] | None = None,
         units: float | None = None,
     ) -> None:
-        """The decisions hear how an attempt or a probe ended, once."""
+        """Tells the gateway how an attempt or a probe has ended. Called once for each."""
         duration = (self.now - attempt.started).total_seconds()
         if self.config.watches_zones:
             self._report_attempt(attempt, 0, end)
@@ -612,7 +657,7 @@
         )  # fmt: skip
 
     def _repeat_deadline(self, request: RequestInProgress, attempt: Attempt) -> datetime | None:
-        """Until when an order may be sent again of which `attempt` may have run; None: at any time."""
+        """Until when a request may be sent again of which `attempt` may have run; None: without a limit."""
         request_class = self.config.settings.classes[request.class_index]
         window = (
             timedelta(seconds=request_class.dedup_window)
@@ -622,11 +667,11 @@
         return None if request.is_safe else attempt.started + window
 
     def _cap_units(self, units: float | None) -> float | None:
-        """Guards an account's quota against a stock node's figure that no request can have."""
+        """Limits the units that a server reports to what a request can cost: it is charged to the account."""
         return None if units is None else min(units, self.config.settings.max_units)
 
     def _report_attempt(self, attempt: Attempt, class_index: int, end: interface.End | None) -> None:
-        """Tells whoever judges zones; a node that is listed no more says nothing of one."""
+        """Tells the zone watch of an attempt. A server that is no longer listed says nothing of a zone."""
         if server := self.state.servers.get(attempt.server_id):
             key = (0, attempt.server_id) if attempt.is_probe else (attempt.request_id, attempt.number)
             duration = self.now - attempt.started
@@ -637,18 +682,20 @@
     def _zone_share_changed(self, event: events.ZoneShareChanged) -> None:
         if event.share <= 0 and not event.trial_server:
             for server in list(self.state.servers.values()):
-                # Guards the first attempts after a return against connections that died unseen.
+                # Connections may break unnoticed while the zone is left, and would fail the first attempts
+                # after its return.
                 if server.entry.zone == event.zone:
                     self._close_idle_connections(server.entry.server)
         if event.trial_server and self.config.settings.allow_probes:
-            self._probe(interface.Probe(event.trial_server))  # costs no client's request
+            self._probe(interface.Probe(event.trial_server))  # a probe risks no client's request
             event = replace(event, trial_server=0)
         elif event.trial_server and event.share > 0:
-            event = replace(event, trial_server=0)  # no client's request is spent on a doubt
+            # No client's request is risked while the zone still serves.
+            event = replace(event, trial_server=0)
         self.gateway_events.append(interface.ZoneShare(event.zone, event.share, event.trial_server))
 
     def _attempt_timed_out(self, attempt: Attempt) -> None:
-        """Its time is up, if it is still out."""
+        """The timeout of an attempt or a probe, which may have ended by now."""
         if attempt.is_probe:
             connection = self.state.connections.get(attempt.connection_id)
             is_open = connection is not None and connection.attempt is attempt
@@ -662,7 +709,10 @@
             self._abort_attempt(attempt, interface.End.CANCELLED)
 
     def _abort_attempt(self, attempt: Attempt, end: interface.End) -> None:
-        """Its connection ends before the decisions hear of it, and so before any further attempt."""
+        """Ends an attempt that is still open.
+
+        Its connection is closed before the gateway hears of it, and so before any further attempt is sent.
+        """
         connection = self.state.connections.get(attempt.connection_id)
         if connection is not None:
             never_opened = connection.state is ConnectionState.OPENING
@@ -689,6 +739,7 @@
         return connection
 
     def _forget_connection(self, connection: Connection) -> None:
+        """Takes a connection that has ended out of the state."""
         state = self.state
         state.connections.pop(connection.id, None)
         if connection.destination is effects.Destination.SERVER:
@@ -701,6 +752,7 @@
         self.effects.append(effects.CloseConnection(connection.id, reason))
 
     def _close_one_idle_connection(self) -> bool:
+        """Makes room for another connection to a server. Returns False if none is idle."""
         for idle in self.state.idle_connections.values():
             if idle:
                 self._close_connection(self.state.connections[idle[0]], Reason.CONNECTION_LIMIT)
@@ -738,12 +790,12 @@
         connection = self.state.connections.get(event.connection_id)
         if connection is not None:
             if event.progress is events.Progress.WRITING and connection.attempt:
-                self._unmark_written(connection.attempt)  # its last byte never left
+                self._unmark_written(connection.attempt)  # its last byte has not left
             self._forget_connection(connection)
             self._handle_loss(connection, event.progress)
 
     def _connection_stale(self, event: events.ConnectionStale) -> None:
-        """Nothing has left: what was to go over it goes over another, and nobody else hears of it."""
+        """Moves what was to be sent to another connection. Nothing has left, so the gateway is not told."""
         connection = self.state.connections.get(event.connection_id)
         if connection is None:
             return
@@ -770,12 +822,13 @@
             self._schedule(self.now + timeout, self._answer_stalled, connection, self.now)
 
     def _answer_stalled(self, connection: Connection, part_at: datetime) -> None:
-        # Guards against answers that promise more than they bring: whatever else waits there waits in vain.
+        # An answer that never becomes complete would hold up its request, and counter calls behind it.
         if connection.id in self.state.connections and connection.answer_part_at == part_at:
             self._close_connection(connection, Reason.ANSWER_STALLED)
             self._handle_loss(connection, events.Progress.ANSWERING)
 
     def _handle_loss(self, connection: Connection, progress: events.Progress) -> None:
+        """Settles what was on a connection that has ended and is no longer in the state."""
         if connection.destination is effects.Destination.SERVER:
             if attempt := connection.attempt:
                 connection.attempt = None
@@ -786,7 +839,7 @@
             self._list_connection_lost(connection)
 
     def _make_idle(self, connection: Connection) -> None:
-        """A connection to a stock node is free again; it is closed before the node would close it."""
+        """Frees a connection to a server for the next attempt, and closes it before the server would."""
         connection.state, connection.attempt, connection.since = ConnectionState.IDLE, None, self.now
         self.state.idle_connections.setdefault(connection.server_id, []).append(connection.id)
         self._schedule(
@@ -795,7 +848,7 @@
 
     def _idle_timed_out(self, connection_id: int, since: datetime) -> None:
         connection = self.state.connections.get(connection_id)
-        # Guards against writing to a connection just as the stock node closes it: that would be a reset.
+        # A request written just as the server closes the connection would end in a reset.
         if connection is not None and connection.state is ConnectionState.IDLE and connection.since == since:
             self._close_connection(connection, Reason.IDLE)
 
@@ -813,7 +866,7 @@
             )
         self._end_attempt(attempt, event.end, event.load, self._cap_units(event.true_units))
 
-    # --- long answers --------------------------------------------------------------------------------------
+    # --- streamed answers ----------------------------------------------------------------------------------
     def _streamed_answer_started(self, event: events.StreamedAnswerStarted) -> None:
         connection = self.state.connections.get(event.connection_id)
         if connection is None:
@@ -825,17 +878,17 @@
             or attempt.request_id not in self.state.requests
             or self._streams_full()
         ):
-            # Guards the memory, too: one more long answer than it holds fails, before all of them do.
+            # Nobody waits for it, or there is no memory for another stream: then one fails before all do.
             self._close_connection(connection, Reason.TOO_MANY)
             self._handle_loss(connection, events.Progress.ANSWERING)
             return
         connection.attempt, connection.streaming_request_id = None, attempt.request_id
         self._answer(
             attempt.request_id, 200, Reason.SERVED, content_type=event.content_type,
-            stream_connection_id=connection.id,
-            length=event.length,
+            stream_connection_id=connection.id, length=event.length,
         )  # fmt: skip
-        # The aim is met by the first bytes, and what comes after them says nothing of the node's pace.
+        # The attempt ends here: the first bytes tell whether the aim is met, and how long the rest takes says
+        # nothing of the server's speed.
         self._end_attempt(attempt, interface.End.OK, event.load, self._cap_units(event.true_units))
 
     def _streamed_answer_received(self, event: events.StreamedAnswerReceived) -> None:
@@ -856,24 +909,25 @@
                 self._mark_client_idle(stream.client_id)
 
     def _streams_full(self) -> bool:
+        """Whether no further request or answer body can be streamed."""
         bodies = sum(request.time_after_body is not None for request in self.state.requests.values())
         return len(self.state.streams) + bodies >= self.config.max_streams
 
     def _cut_stream(self, stream: AnswerStream) -> None:
-        """Nobody waits for the rest of a long answer, if there is one."""
+        """Closes the connection over which the rest of a streamed answer would come: nobody waits for it."""
         connection = self.state.connections.get(stream.connection_id)
         if connection is not None and connection.streaming_request_id == stream.request_id:
             self._close_connection(connection, Reason.CANCELLED)
 
     def _reuse_or_close(self, connection: Connection, keep_alive: bool) -> None:
-        """A connection whose answer is whole: kept for the next attempt, unless its node gets none."""
+        """Keeps a connection whose answer is complete for the next attempt, unless its server gets none."""
         if keep_alive and self._is_usable(connection):
             self._make_idle(connection)
         else:
             self._close_connection(connection, Reason.DONE)
 
     def _is_usable(self, connection: Connection) -> bool:
-        """Whether its stock node gets requests, and is still the process that it was opened to."""
+        """Whether a connection's server gets requests, and is still the process that it was opened to."""
         server, ban = self.state.servers.get(connection.server_id), self.state.bans.get(connection.server_id)
         if (
             server is None
@@ -889,8 +943,11 @@
         )
 
     def _drop_unusable_dials(self) -> None:
-        """Guards stock nodes that are to get nothing more, or are another process by now, against what still
-        waits for its connection there: it is sent elsewhere. Called when lists or staff have said so."""
+        """Gives up opening connections to servers that get no more requests, or are another process by now.
+
+        The attempts that wait for them fail before anything is sent, and the gateway sends them elsewhere.
+        Called whenever the list or a ban has changed.
+        """
         for connection in [
             connection
             for connection in self.state.connections.values()
@@ -918,7 +975,7 @@
 
     def _call_counter(self, call: CounterCall) -> None:
         config, state = self.config, self.state
-        # A name keeps to one connection, on which answers come in the order of the calls.
+        # The calls of a name all use one connection, where answers come in the order of the calls.
         slot = call.name % config.counter_connections
         connection = state.counter_connections.get(slot)
         if (
@@ -926,7 +983,8 @@
             and len(connection.queued_calls) + len(connection.unanswered_calls)
             >= config.counter_pipeline_limit
         ):
-            # Guards against a silent counter filling the memory: all calls are answered, it is redialled.
+            # A silent counter must not fill the memory: the waiting calls fail and a new connection is
+            # opened.
             self._close_connection(connection, Reason.NO_RESPONSE)
             self._counter_connection_lost(connection)
             connection = None
@@ -949,7 +1007,7 @@
         self.effects.append(effects.CallCounter(connection.id, call.name, call.amount, call.ttl))
 
     def _answer_counter_call(self, call: CounterCall, end: interface.End, total: float = 0.0) -> None:
-        """Each call has exactly one answer; what comes after it is dropped."""
+        """Answers the caller. Only the first answer counts: the counter's may come after a timeout."""
         if not call.answered:
             call.answered = True
             if call.token:
@@ -959,6 +1017,7 @@
             self.gateway_events.append(interface.CountOutcome(call.name, duration, end, total))
 
     def _counter_call_timed_out(self, connection: Connection, call: CounterCall) -> None:
+        """Answers the caller of a call that has no answer yet; the counter's may still come."""
         if call.answered:
             return
         if connection.state is ConnectionState.OPENING and call in connection.queued_calls:
@@ -971,8 +1030,8 @@
         )
 
     def _check_counter_silence(self, connection: Connection, call: CounterCall) -> None:
-        # Guards against a connection that died unseen: a late answer is waited for, but not for ever, and not
-        # while the counter answers elsewhere what it was asked later.
+        # The connection may have broken unnoticed. A late answer is waited for up to a limit, but no longer
+        # once the counter has answered later calls on another connection.
         if (
             connection.id not in self.state.connections
             or not connection.unanswered_calls
@@ -1009,8 +1068,9 @@
         for call in connection.queued_calls:
             self._answer_counter_call(call, interface.End.CONNECT_FAILED)
 
-    # --- node list -----------------------------------------------------------------------------------------
+    # --- server list ---------------------------------------------------------------------------------------
     def _open_list_connection(self) -> None:
+        """Opens the connection to the discovery agent, unless there is one. The list is asked for over it."""
         if not self.state.server_list_address or self.state.list_connection_id in self.state.connections:
             return
         connection = self._open_connection(effects.Destination.SERVER_LIST, self.state.server_list_address)
@@ -1034,19 +1094,22 @@
             self._write_list_request(connection)
 
     def _list_timed_out(self, connection: Connection, asked_at: datetime) -> None:
-        # Guards against an agent that never answers: the watch is asked anew on a fresh connection.
+        # An agent that never answers is asked again over a new connection.
         if connection.id in self.state.connections and connection.since == asked_at:
             self._close_connection(connection, Reason.NO_RESPONSE)
             self._list_connection_lost(connection)
 
     def _log_list_unreachable(self, detail: str) -> None:
-        """Told in the log once, until the agent answers again."""
+        """Writes one line to the log until the agent answers again."""
         if self.state.list_reachable:
             self.state.list_reachable = False
             self.effects.append(effects.Log(f"node list: {detail}"))
 
     def _list_connection_lost(self, connection: Connection) -> None:
-        """A watch that had lasted is asked anew at once: what is told meanwhile counts as heard."""
+        """Opens a new connection to the agent, at once if the last request for the list is old enough.
+
+        The agent takes what it tells while the connection is down for known.
+        """
         self._log_list_unreachable("agent not answering; serving on with the list as last told")
         self._schedule(
             max(self.now, (connection.since or self.now) + self.config.list_min_pause),
@@ -1064,8 +1127,8 @@
         known_version = self.state.list_version
         is_changes = event.list_kind is interface.ListKind.CHANGES
         if event.servers is None or is_changes and (known_version is None or event.version < known_version):
-            # Guards against an answer that cannot be read, and changes of a list that was not told or has
-            # been counted anew: the whole list is asked for, after a pause.
+            # The answer cannot be read, or it holds changes of a list that is not known here or whose
+            # versions have started again: the complete list is asked for, after a pause.
             self._log_list_unreachable("unreadable answer; asking for the whole list")
             self.state.list_version = None
             self._close_connection(connection, Reason.FAILED)
@@ -1079,7 +1142,8 @@
             self._apply_list(event.list_kind, event.servers)
         if not event.keep_alive:
             self._close_connection(connection, Reason.DONE)
-        # Guards against an agent that does not wait: asking it without a pause would take the whole core.
+        # An agent that answers at once without news is asked after a pause: else it would use up the
+        # processor.
         has_news = event.version != known_version and (event.servers or not is_changes)
         if not has_news and self.now - asked_at < self.config.list_min_pause:
             self._schedule(self.now + self.config.list_min_pause, *(
@@ -1091,14 +1155,16 @@
             self._open_list_connection()
 
     def _list_refused(self, connection: Connection) -> None:
-        """Asked again later each time, and not with others: what was told before is still the place to go on.
+        """Asks again after a pause that grows with each refusal and is random, to spread the ingresses.
 
-        Guards a node list that all ingresses share. It was seen to turn away 250 to 360 questions a second of
-        a fleet of 40 for the rest of a day, each for the whole list, 100 ms after the one before.
+        The version stays known, so that only changes are asked for. All ingresses share the agent: one was
+        seen to refuse 250 to 360 requests a second of a fleet of 40 for the rest of a day, each for the
+        complete list and 100 ms after the one before.
         """
         state, config = self.state, self.config
         self._log_list_unreachable("has no turn for us; asking again, later each time")
-        # What all of them can be given in turn depends on how many they are; a call given up still takes one.
+        # The time for a turn of all ingresses grows with their number. A request that was given up takes a
+        # turn, too.
         pause = max(config.list_fleet_turn, config.list_min_pause * 4) * 2 ** min(state.list_refusals, 10)
         pause = min(max(config.list_fleet_turn * 2, config.list_max_pause), pause)
         state.list_refusals += 1
@@ -1106,6 +1172,7 @@
         self._schedule(self.now + pause * (0.5 + self.random.random()), self._open_list_connection)
 
     def _apply_list(self, list_kind: interface.ListKind, listed: tuple[events.ListedServer, ...]) -> None:
+        """Takes over a server list or changes of one, and tells the gateway."""
         state = self.state
         before = dict(state.servers)
         if list_kind is not interface.ListKind.CHANGES:
@@ -1118,7 +1185,7 @@
         for server_id, old in before.items():
             new = state.servers.get(server_id)
             if new is None or new.address != old.address or new.entry.started != old.entry.started:
-                # Guards against connections to a process that is gone: they would end as resets.
+                # Attempts on connections to a process that is gone would end in resets.
                 self._close_idle_connections(server_id)
                 if new is None:
                     state.idle_connections.pop(server_id, None)
@@ -1134,9 +1201,10 @@
             )
 
     def _replaced_servers(self) -> tuple[interface.ServerEntry, ...]:
-        """Stock nodes at whose address a newer one stands: they are gone, whatever the list still says.
+        """Drops servers that another one has replaced at the same address, and returns them as GONE.
 
-        Guards a stock node that has just started against the share of the one before it, sent there as well.
+        They are gone, whatever the list says. Their requests would reach the server that has just started, in
+        addition to its own.
         """
         state = self.state
         newest: dict[str, events.ListedServer] = {}
@@ -1156,7 +1224,10 @@
 
     # --- new addresses -------------------------------------------------------------------------------------
     def _addresses_changed(self, event: events.AddressesChanged) -> None:
-        """The old connections are left at once: a name's calls must all go to one place, in their order."""
+        """Closes the connections to the old addresses at once.
+
+        The calls of a counter name must all go to one counter, in their order.
+        """
         state = self.state
         if event.counter_address != state.counter_address:
             state.counter_address = event.counter_address
@@ -1165,7 +1236,7 @@
                 self._counter_connection_lost(connection)
         if event.server_list_address != state.server_list_address:
             state.server_list_address = event.server_list_address
-            # Guards against versions that another agent counts differently: its whole list is asked for.
+            # Another agent may count versions differently: its complete list is asked for.
             state.list_version, state.list_refusals = None, 0
             if list_connection := state.connections.get(state.list_connection_id):
                 self._close_connection(list_connection, Reason.ADDRESS_CHANGED)
@@ -1176,7 +1247,7 @@
 
     # --- staff ---------------------------------------------------------------------------------------------
     def status_report(self) -> StatusReport:
-        """A look at the counts and at what is now; changes nothing."""
+        """The current figures for the admin endpoint. Changes nothing."""
         state, statistics = self.state, self.state.statistics
         return StatusReport(
             tuple(statistics.served), tuple(statistics.refused), tuple(statistics.failed),
@@ -1189,7 +1260,8 @@
         bans, server_id = self.state.bans, event.server_id
         is_banned = server_id in bans and bans[server_id].banned
         if not is_banned and server_id not in self.state.servers:
-            # What is out can always be given back, listed or not; nothing else is known by its absence.
+            # The ban of a server can be lifted even if it is not listed; any other server that is not listed
+            # is unknown.
             self.effects.append(effects.AnswerStaff(event.call_id, False, f"unknown stock node {event.name}"))
             return
         status = "out" if event.banned else "in use"
@@ -1197,10 +1269,10 @@
             self.effects.append(effects.AnswerStaff(event.call_id, True, f"{event.name} {status} already"))
             return
         if event.banned and sum(known.banned for known in bans.values()) >= self.config.max_bans:
-            # Guards the memory, and the file that is written at each call, against a script gone wild.
+            # Bounds the memory and the ban file, which is written at each call, should a script run wild.
             self.effects.append(effects.AnswerStaff(event.call_id, False, "too many stock nodes are out"))
             return
-        # A hybrid clock: later than all that is known, whatever the clock of who said that.
+        # A hybrid clock: later than all known bans, even if another process's clock is ahead.
         at = max([self.now, *(known.at + MICROSECOND for known in bans.values())])
         ban = events.BanStatus(event.name, server_id, event.banned, at)
         self._apply_ban(ban)
@@ -1212,13 +1284,14 @@
         changed = False
         for ban in event.bans:
             known = self.state.bans.get(ban.server_id)
-            # Of two said at one instant the ban holds, in whatever order they come.
+            # Of two commands at the same time the ban wins, in whatever order they come.
             if known is None or (known.at, known.banned) < (ban.at, ban.banned):
                 changed = True
                 self._apply_ban(ban)
                 if not event.persist:
                     self.effects.append(effects.ReplicateBan(ban))
-        if event.persist and changed:  # two processes that keep what the other one tells would go on for ever
+        # Only news is written: two processes that pass on what the other one writes would never end.
+        if event.persist and changed:
             self.effects.append(effects.PersistBans(tuple(self.state.bans.values())))
 
     def _ejections_received(self, event: events.EjectionsReceived) -> None:
@@ -1228,11 +1301,12 @@
             )
 
     def _apply_ban(self, ban: events.BanStatus) -> None:
+        """Takes over a ban or its lifting, and tells the gateway."""
         bans = self.state.bans
         bans.pop(ban.server_id, None)
         bans[ban.server_id] = ban
         if not ban.banned:
-            # What is in use again is remembered for the other process's sake, and not for ever.
+            # Lifted bans are kept to tell other processes of them, but only the last ones.
             not_banned = [known.server_id for known in bans.values() if not known.banned]
             for server_id in not_banned[: -self.config.max_bans]:
                 del bans[server_id]
@@ -1244,15 +1318,15 @@
 
     # --- another process of this ingress -------------------------------------------------------------------
     def _process_count_changed(self, event: events.ProcessCountChanged) -> None:
-        """Guards ceilings: two processes side by side each have half of this ingress's part."""
+        """Two processes side by side each use half of this ingress's part of an account's ceiling."""
         self.state.process_count = event.process_count
 
     def is_other_process_accepting(self) -> bool:
-        """Whether another process of this ingress takes the clients that connect from now on."""
+        """Whether another process of this ingress accepts clients."""
         return self.state.other_process_accepting
 
     def _other_process_accepting(self, event: events.OtherProcessAccepting) -> None:
-        """Guards clients that connect while the last process is draining: nobody else would accept them."""
+        """Accepts clients again while draining if no other process does: nobody else would answer them."""
         state = self.state
         state.other_process_accepting = event.accepting
         if event.accepting or not state.draining or not state.has_successor:
@@ -1265,6 +1339,7 @@
             self.effects.append(effects.ResumeAccepting())
 
     def _snapshot_received(self, event: events.SnapshotReceived) -> None:
+        """Takes over what the old process knows: the gateway's snapshot and the bans."""
         try:
             snapshot.import_state(self.gateway, event.snapshot, self.now.timestamp())
         except snapshot.SnapshotError as error:
@@ -1277,11 +1352,11 @@
         self._take_over_bans(event.snapshot.get(BANS_KEY))
 
     def bans_for_handover(self) -> list[list[Any]]:
-        """What staff have said of stock nodes, as plain values for the process after this one."""
+        """The bans as plain values, for the next process."""
         return bans_to_plain(self.state.bans.values())
 
     def _take_over_bans(self, plain: Any) -> None:
-        """Guards a ban that could not be written to the file, and is still owed to staff."""
+        """Takes over the old process's bans: it may not have been able to write them to the ban file."""
         try:
             bans = bans_from_plain(plain)
         except InvalidBans as error:
@@ -1290,9 +1365,9 @@
         if bans:
             self._bans_received(events.BansReceived(bans, persist=True))
 
-    # --- stop ----------------------------------------------------------------------------------------------
+    # --- drain ---------------------------------------------------------------------------------------------
     def _drain_requested(self, event: events.DrainRequested) -> None:
-        """Everything that a draining process still does has its time from one schedule."""
+        """Starts the drain. All its steps follow one schedule, and a second request changes nothing."""
         state = self.state
         if state.draining:
             return
@@ -1309,14 +1384,15 @@
         self._schedule(schedule.exit, self._exit_now)
 
     def _close_idle_clients(self) -> None:
+        """Stops listening, and closes clients without an open request."""
         self.state.idle_clients_closed = True
         self.effects.append(effects.StopListening())
-        # One whose request is being read is left: it is answered, and its answer ends the connection.
+        # A client whose request is being read stays: its answer ends the connection.
         for client_id in (*self.state.clients_new, *self.state.clients_idle):
             self._close_client(client_id, Reason.STOPPING)
 
     def _answer_all(self) -> None:
-        """Guards every request that was read against SIGKILL, whatever it waits for and however long."""
+        """Answers every open request before SIGKILL may come, whatever it waits for."""
         state = self.state
         being_sent = {
             attempt.request_id
@@ -1339,7 +1415,7 @@
             self.effects.append(effects.StopReadingBodies())
 
     def _exit_now(self) -> None:
-        """Ends what cannot be ended by an answer: the kill would leave it looking whole."""
+        """Resets streamed answers that have not ended, which SIGKILL might make look complete, and exits."""
         state = self.state
         if state.exited:
             return
