--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -14,11 +14,11 @@
 from tests.reducer_rig import CHECK, PLACE, SETTINGS, START, ReducerRig, ingress_config
 
 MS = timedelta(milliseconds=1)
-LONG = tuple(replace(c, deadline=8.0) for c in SETTINGS.classes)  # longer than the kill waits
+LONG_DEADLINES = tuple(replace(c, deadline=8.0) for c in SETTINGS.classes)  # longer than the kill waits
 
 
 def rig_with_long_deadlines(**changes: object) -> ReducerRig:
-    return ReducerRig(settings=replace(SETTINGS, classes=LONG), **changes)
+    return ReducerRig(settings=replace(SETTINGS, classes=LONG_DEADLINES), **changes)
 
 
 def dialling(rig: ReducerRig, class_index: int) -> int:
@@ -97,7 +97,7 @@
     rig.pass_time(late_ms * MS)
     request_id = make_state(rig, class_index)
     sent_on = any(e.request_id == request_id for e in rig.effects if isinstance(e, effects.SendAttempt))
-    while rig.now < asked + min_time_to_kill(LONG) - ANSWER_MARGIN:
+    while rig.now < asked + min_time_to_kill(LONG_DEADLINES) - ANSWER_MARGIN:
         rig.pass_time(MS)
     answers = [a for a in rig.answers if a.request_id == request_id]
     assert len(answers) == 1, "one final answer, with time for a process that is held up"
@@ -119,7 +119,7 @@
     rig.step(events.ClientConnected(99))
     rig.step(events.RequestHeadStarted(99))
     rig.step(events.DrainRequested(has_successor))
-    rig.pass_time(min_time_to_kill(LONG) - 50 * MS)
+    rig.pass_time(min_time_to_kill(LONG_DEADLINES) - 50 * MS)
     request_id = rig.request(PLACE)
     assert [(a.status, a.close_connection) for a in rig.answers if a.request_id == request_id] == [
         (429, True)
@@ -133,7 +133,7 @@
     rig.step(events.DrainRequested())
     rig.pass_time(2000 * MS)
     sent(rig, PLACE)
-    assert rig.last_attempt().time_left <= min_time_to_kill(LONG) - ANSWER_MARGIN - 2000 * MS
+    assert rig.last_attempt().time_left <= min_time_to_kill(LONG_DEADLINES) - ANSWER_MARGIN - 2000 * MS
 
 
 def test_a_request_whose_body_is_still_coming_is_answered() -> None:
@@ -148,7 +148,7 @@
     rig.step(events.ClientConnected(8))
     rig.step(events.RequestBodyStarted(8))
     rig.step(events.DrainRequested())
-    rig.pass_time(min_time_to_kill(LONG) - ANSWER_MARGIN)
+    rig.pass_time(min_time_to_kill(LONG_DEADLINES) - ANSWER_MARGIN)
     assert [(a.status, a.close_connection) for a in rig.answers if a.request_id == 70] == [(408, True)]
     assert effects.StopReadingBodies() in rig.effects, "the other is no order yet"
     rig.step(events.RequestDiscarded(8))
@@ -161,7 +161,7 @@
     sent(rig, CHECK)
     rig.step(events.StreamedAnswerStarted(rig.last_attempt().connection_id, "", None, {}))
     rig.step(events.DrainRequested())
-    rig.pass_time(min_time_to_kill(LONG) - ANSWER_MARGIN)
+    rig.pass_time(min_time_to_kill(LONG_DEADLINES) - ANSWER_MARGIN)
     assert effects.Exit() not in rig.effects, "it may still become whole"
     rig.pass_time(ANSWER_MARGIN)
     aborts = [e for e in rig.effects if isinstance(e, effects.AbortClient)]
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_races_attempts.py
@@ -15,7 +15,7 @@
 from opalgauge.memory.state import ConnectionState
 from starlinggap import interface as interface
 from tests import harness
-from tests.crossing import (
+from tests.race_rig import (
     MS,
     SETTINGS_WITHOUT_COUNTER,
     Scene,
@@ -434,16 +434,18 @@
 @pytest.mark.parametrize("how", ["a close", "a reset"])
 def test_a_client_that_leaves_while_its_long_body_is_unread_is_not_forwarded(how: str) -> None:
     # What waits for a node is read no further, and the loop would meet the client's end by reading alone.
-    begun, rest = 70 * 1024, 620 * 1024  # what is held of it, and what lies here and there
+    buffered, unread = 70 * 1024, 620 * 1024  # what is held of it, and what lies here and there
 
     async def scenario() -> None:
         async with scene() as running:
             running.exchange.gate.clear()
             _, writer = await running.connect_client()
-            whole = harness.request("POST", "/place-order", b"x" * (begun + rest), left="2.0", name="one")
-            writer.write(whole[:-rest])
+            whole = harness.request(
+                "POST", "/place-order", b"x" * (buffered + unread), left="2.0", name="one"
+            )
+            writer.write(whole[:-unread])
             await wait_until(lambda: running.state.requests)
-            writer.write(whole[-rest:])
+            writer.write(whole[-unread:])
             (connection,) = running.clients.numbers
             await wait_until(
                 lambda: connection.transport is not None and not connection.transport.is_reading()
--- a/tests/test_crossings_clients.py
+++ b/tests/test_races_clients.py
@@ -14,7 +14,7 @@
 from opalgauge.memory.events import CloseIdleRequested, DrainRequested
 from opalgauge.wire import clients as clients
 from tests import harness
-from tests.crossing import Scene, check_request, ok_response, run_scene, scene, wait_until
+from tests.race_rig import Scene, check_request, ok_response, run_scene, scene, wait_until
 
 
 class Client:
--- a/tests/test_crossings_watch.py
+++ b/tests/test_races_server_list.py
@@ -11,7 +11,7 @@
 
 from opalgauge.memory.events import AddressesChanged
 from opalgauge.wire.line import LineProtocol
-from tests.crossing import (
+from tests.race_rig import (
     MS,
     Scene,
     StandIn,
@@ -74,11 +74,13 @@
     async def scenario() -> None:
         async with scene(list_wait=timedelta(seconds=wait)) as running:
             list_connection, first = await next_list_request(running)
-            heard = len(ANSWER_BEGINNINGS[beginning])
+            received = len(ANSWER_BEGINNINGS[beginning])
             list_connection.send(ANSWER_BEGINNINGS[beginning])
-            if heard:
+            if received:
                 line = running.exchange.lines[running.state.list_connection_id]
-                await wait_until(lambda: len(line.heard) >= heard or line.halting or beginning == "only 1xx")
+                await wait_until(
+                    lambda: len(line.heard) >= received or line.halting or beginning == "only 1xx"
+                )
             running.pass_time(timedelta(seconds=wait) + 500 * MS)
             running.pass_time(150 * MS)
             other, again = await next_list_request(running)
@@ -176,7 +178,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seq", "whole", "taken", "since"),
+    ("version", "is_complete", "accepted", "since"),
     [
         (7, False, True, "since=7&"),  # the same again
         (900, False, True, "since=900&"),  # it may jump
@@ -185,7 +187,7 @@
     ],
 )
 def test_list_versions_that_repeat_jump_or_go_back(
-    seq: int, whole: bool, taken: bool, since: str | None
+    version: int, is_complete: bool, accepted: bool, since: str | None
 ) -> None:
     async def scenario() -> None:
         async with scene(server_count=2) as running:
@@ -193,13 +195,13 @@
             running.pass_time(200 * MS)
             answer_list(
                 list_connection,
-                seq,
+                version,
                 running.list_entry(0, "terminating"),
                 running.list_entry(1),
-                is_complete=whole,
+                is_complete=is_complete,
                 indent=2,
             )
-            if taken:
+            if accepted:
                 assert f"?{since}" in await read_list_request(list_connection)
                 await assert_forwarded_to(running, 1)
             else:
--- a/tests/test_crossings_upstream.py
+++ b/tests/test_races_upstream.py
@@ -11,7 +11,7 @@
 from opalgauge.memory.events import BanChangeRequested
 from opalgauge.memory.state import ConnectionState
 from starlinggap import interface as interface
-from tests.crossing import (
+from tests.race_rig import (
     MS,
     SETTINGS_WITHOUT_COUNTER,
     Scene,
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -12,7 +12,7 @@
 from opalgauge.memory import events as ev
 from opalgauge.wire.recorder import KINDS, MOST, Recorder
 from tests import harness
-from tests.crossing import run_scene, scene
+from tests.race_rig import run_scene, scene
 from tests.reducer_rig import PLACE, START, ReducerRig
 
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -29,15 +29,15 @@
     assert rig.last_attempt().connection_id == attempt.connection_id
 
 
-@pytest.mark.parametrize(("told", "charged"), [(3.0, 3.0), (0.5, 0.5), (900.0, 3.0), (None, 2.0)])
-def test_true_units_of_a_request_are_settled_with_the_next_count(told: float, charged: float) -> None:
+@pytest.mark.parametrize(("true_units", "charged"), [(3.0, 3.0), (0.5, 0.5), (900.0, 3.0), (None, 2.0)])
+def test_true_units_of_a_request_are_settled_with_the_next_count(true_units: float, charged: float) -> None:
     rig = ReducerRig(settings=replace(SETTINGS, charge_true_units=True))
     rig.request(PLACE, units=2.0)
     rig.answer_counter(total=2.0)
     rig.answer_last_window()
     rig.step(
         events.ServerAnswered(
-            rig.last_attempt().connection_id, interface.End.OK, True, b"done", true_units=told
+            rig.last_attempt().connection_id, interface.End.OK, True, b"done", true_units=true_units
         )
     )
     rig.request(PLACE, units=1.0)  # what is still to be settled rides on the account's next call
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reached", "again"),
+    ("progress", "retried"),
     [
         (events.Progress.CONNECTING, True),
         (events.Progress.WRITING, True),
@@ -64,13 +64,13 @@
     ],
 )
 def test_only_the_progress_of_an_attempt_decides_whether_an_unsafe_request_is_retried(
-    reached: events.Progress, again: bool
+    progress: events.Progress, retried: bool
 ) -> None:
     rig = ReducerRig()
     rig.admit(PLACE)
     first = rig.last_attempt()
-    rig.step(events.ConnectionLost(first.connection_id, reached))
-    if again:
+    rig.step(events.ConnectionLost(first.connection_id, progress))
+    if retried:
         rig.open_connections()
         assert rig.last_attempt().connection_id != first.connection_id
     else:
@@ -112,10 +112,10 @@
     request_id = rig.admit(CHECK)
     first = rig.last_attempt()
     server = next(iter(rig.reducer.state.servers))
-    heard: list[interface.Event] = []
+    recorded: list[interface.Event] = []
 
     def greedy(now: float, events: list[interface.Event]) -> list[interface.Action]:
-        heard.extend(events)
+        recorded.extend(events)
         return (
             [interface.Send(request_id, server, now + 1.0)]
             if isinstance(events[0], interface.TimerFired)
@@ -124,7 +124,7 @@
 
     rig.reducer.gateway.handle = greedy  # type: ignore[method-assign]
     rig.pass_time(timedelta(milliseconds=400))
-    assert [e.end for e in heard if isinstance(e, interface.Outcome)][:1] == [interface.End.NOT_SENT]
+    assert [e.end for e in recorded if isinstance(e, interface.Outcome)][:1] == [interface.End.NOT_SENT]
     assert [e for e in rig.effects if isinstance(e, effects.SendAttempt)] == [first]
 
 
@@ -139,25 +139,25 @@
 
 def test_the_counter_answers_each_call_once_and_a_late_answer_is_dropped() -> None:
     rig = ReducerRig()
-    heard = rig.record_gateway_events()
+    recorded = rig.record_gateway_events()
     rig.request(PLACE)
     connection_id = rig.last_counter_call().connection_id
     rig.pass_time(timedelta(milliseconds=85))
-    assert [e.end for e in heard if isinstance(e, interface.CountOutcome)] == [interface.End.TIMEOUT]
+    assert [e.end for e in recorded if isinstance(e, interface.CountOutcome)] == [interface.End.TIMEOUT]
     rig.step(events.CounterAnswered(connection_id, interface.End.OK, 1.0, True))
-    assert len([e for e in heard if isinstance(e, interface.CountOutcome)]) == 1
+    assert len([e for e in recorded if isinstance(e, interface.CountOutcome)]) == 1
     assert effects.CloseConnection(connection_id) not in rig.effects
 
 
 def test_counter_answers_reach_the_gateway_in_call_order_when_the_connection_breaks() -> None:
     rig = ReducerRig()
-    heard = rig.record_gateway_events()
+    recorded = rig.record_gateway_events()
     rig.request(PLACE, account=7)
     rig.request(PLACE, account=7)
     connection_id = rig.last_counter_call().connection_id
     rig.step(events.CounterAnswered(connection_id, interface.End.OK, 1.0, True))
     rig.step(events.ConnectionLost(connection_id, events.Progress.WRITTEN))
-    ends = [e.end for e in heard if isinstance(e, interface.CountOutcome)]
+    ends = [e.end for e in recorded if isinstance(e, interface.CountOutcome)]
     assert ends[0] is interface.End.OK and set(ends[1:]) == {interface.End.RESET}
 
 
@@ -275,12 +275,12 @@
 
 def test_a_probe_goes_out_on_a_connection_and_its_report_comes_back() -> None:
     rig = ReducerRig()
-    heard: list[interface.Event] = []
-    asked: list[interface.Action] = [interface.Probe(2), interface.Probe(3)]
+    recorded: list[interface.Event] = []
+    probes: list[interface.Action] = [interface.Probe(2), interface.Probe(3)]
 
     def handle(now: float, events: list[interface.Event]) -> list[interface.Action]:
-        heard.extend(events)
-        actions, asked[:] = list(asked), []
+        recorded.extend(events)
+        actions, probes[:] = list(probes), []
         return actions
 
     rig.reducer.gateway.handle = handle  # type: ignore[method-assign]
@@ -288,8 +288,8 @@
     first, second = (e.connection_id for e in rig.effects if isinstance(e, effects.SendProbe))
     rig.step(events.ServerAnswered(first, interface.End.OK, True, load={"util": 0.5}))
     rig.pass_time(timedelta(milliseconds=300))
-    told = [(e.server, e.end, e.load) for e in heard if isinstance(e, interface.ProbeOutcome)]
-    assert told == [(2, interface.End.OK, {"util": 0.5}), (3, interface.End.TIMEOUT, {})]
+    outcomes = [(e.server, e.end, e.load) for e in recorded if isinstance(e, interface.ProbeOutcome)]
+    assert outcomes == [(2, interface.End.OK, {"util": 0.5}), (3, interface.End.TIMEOUT, {})]
     assert (
         effects.CloseConnection(second) in rig.effects and effects.CloseConnection(first) not in rig.effects
     )
@@ -323,14 +323,14 @@
 def test_due_timers_run_with_other_events_or_at_a_wake_up_within_the_slack() -> None:
     # Guards the hot path: a wake-up of its own for every timer, most of them due in vain, was 12% of the CPU.
     rig = ReducerRig()
-    heard = rig.record_gateway_events()
+    recorded = rig.record_gateway_events()
     rig.request(CHECK, time_left=timedelta(seconds=1))
     due = rig.reducer.timers[0][0]
     asked = [e for e in rig.effects if isinstance(e, effects.WakeAt)][-1]
     assert due < asked.at <= due + timedelta(milliseconds=3)
     rig.now = due
     rig.step(events.ConnectionLost(999_999, events.Progress.WRITTEN))
-    assert [e for e in heard if isinstance(e, interface.TimerFired)]
+    assert [e for e in recorded if isinstance(e, interface.TimerFired)]
 
 
 def test_a_drain_answers_all_and_exits_when_nothing_is_owed() -> None:
@@ -353,14 +353,16 @@
     rig.wait_until_reusable()
     rig.admit(PLACE)
     assert rig.last_attempt().connection_id == old
-    heard = rig.record_gateway_events()
+    recorded = rig.record_gateway_events()
     rig.step(events.ConnectionStale(old))
     rig.open_connections()
     new = rig.last_attempt().connection_id
-    assert new != old and not [e for e in heard if isinstance(e, interface.Outcome)]
+    assert new != old and not [e for e in recorded if isinstance(e, interface.Outcome)]
     rig.step(events.ServerAnswered(new, interface.End.OK, True, b""))
     assert rig.answers[-1].status == 200
-    assert [(e.attempt, e.end) for e in heard if isinstance(e, interface.Outcome)] == [(0, interface.End.OK)]
+    assert [(e.attempt, e.end) for e in recorded if isinstance(e, interface.Outcome)] == [
+        (0, interface.End.OK)
+    ]
 
 
 def test_a_counter_call_on_a_stale_connection_goes_over_another() -> None:
@@ -368,7 +370,7 @@
     rig.admit(CHECK)
     rig.request(CHECK, account=1000)
     call = rig.last_counter_call()
-    heard = rig.record_gateway_events()
+    recorded = rig.record_gateway_events()
     rig.step(events.ConnectionStale(call.connection_id))
     rig.open_connections()
     again = rig.last_counter_call()
@@ -377,7 +379,7 @@
         call.amount,
     ) and again.connection_id != call.connection_id
     rig.answer_counter(total=2.0)
-    assert [e.end for e in heard if isinstance(e, interface.CountOutcome)] == [interface.End.OK]
+    assert [e.end for e in recorded if isinstance(e, interface.CountOutcome)] == [interface.End.OK]
 
 
 def test_nobody_waits_longer_than_the_deadline_of_the_class() -> None:
@@ -419,18 +421,18 @@
     rig.admit(CHECK)
     connection_id = rig.last_attempt().connection_id
     rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
-    heard = rig.record_gateway_events()
+    recorded = rig.record_gateway_events()
     old, new = (
         listed_server(1),
         events.ListedServer(
             listed_server(1).address, interface.ServerEntry(9, interface.Health.READY, started=1.0)
         ),
     )
-    told = (old, new) if list_kind is interface.ListKind.COMPLETE else (new,)
-    rig.step(events.ServerListAnswered(rig.last_list_request().connection_id, True, 8, list_kind, told))
+    listed = (old, new) if list_kind is interface.ListKind.COMPLETE else (new,)
+    rig.step(events.ServerListAnswered(rig.last_list_request().connection_id, True, 8, list_kind, listed))
     assert effects.CloseConnection(connection_id) in rig.effects
     assert set(rig.reducer.state.servers) == {9}
-    entries = [e for e in heard if isinstance(e, interface.ServerList)][-1].entries
+    entries = [e for e in recorded if isinstance(e, interface.ServerList)][-1].entries
     assert [e.health for e in entries if e.server == 1][-1] is interface.Health.GONE
     assert rig.reducer.gateway.ready == [9]
 
@@ -448,20 +450,20 @@
     )
 
 
-@pytest.mark.parametrize("lives", [True, False])
-def test_a_counter_connection_that_is_silent_while_others_answer_is_replaced(lives: bool) -> None:
+@pytest.mark.parametrize("others_answer", [True, False])
+def test_a_counter_connection_that_is_silent_while_others_answer_is_replaced(others_answer: bool) -> None:
     # Guards the accounts whose names share it: each of their calls would time out.
     rig = ReducerRig()
     rig.request(CHECK, account=42)
     dead = rig.last_counter_call()
     rig.pass_time(timedelta(milliseconds=100))
-    if lives:
+    if others_answer:
         account = 43
         while rig.last_counter_call().connection_id == dead.connection_id:
             rig.request(CHECK, account=account)
             account += 1
         rig.answer_counter(total=1.0)
     rig.pass_time(timedelta(milliseconds=150))
-    assert (effects.CloseConnection(dead.connection_id) in rig.effects) is lives
+    assert (effects.CloseConnection(dead.connection_id) in rig.effects) is others_answer
     rig.pass_time(timedelta(seconds=2))
     assert effects.CloseConnection(dead.connection_id) in rig.effects
