--- a/tests/race_rig.py
+++ b/tests/race_rig.py
@@ -1,7 +1,8 @@
-"""An ingress's own sockets in the test's process, so that a test says in which order two events come.
+"""An ingress's own sockets in the test's process, for tests that choose the order of two events.
 
-Every connection is a real one on loopback. Time stands still until a test moves it, a dial waits at a gate
-until a test opens it, and the parties round the ingress write when they are told to.
+Every connection is a real one on loopback. The clock stands still until a test moves it, connections are
+opened when a test opens a gate, and the stand-ins for servers, counter and discovery agent write when they
+are told to.
 """
 
 from __future__ import annotations
@@ -29,13 +30,12 @@
 from tests.reducer_rig import SETTINGS, START, ingress_config
 
 MS = timedelta(milliseconds=1)
-SETTINGS_WITHOUT_COUNTER = replace(
-    SETTINGS, use_counter=False
-)  # no counter: nothing stands between a request and its attempt
+# No counter: nothing comes between a request and its attempt.
+SETTINGS_WITHOUT_COUNTER = replace(SETTINGS, use_counter=False)
 
 
 class GatedExchange(Exchange):
-    """Dials as ever, once the gate is open."""
+    """Opens connections only while the gate is open."""
 
     def __init__(self, *more: Any) -> None:
         super().__init__(*more)
@@ -53,7 +53,7 @@
 
 @dataclass
 class StandInConnection:
-    """One connection that the ingress opened, in the hands of the test."""
+    """A connection that the ingress has opened to a stand-in, controlled by the test."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -65,20 +65,20 @@
         self.writer.write(data)
 
     def reset(self) -> None:
-        """Ends it as a close over unread bytes does."""
+        """Closes it with a reset, as a close with unread bytes does."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
     async def read_to_end(self) -> bytes:
-        """What came up to the connection's end."""
+        """The bytes that come up to the end of the connection."""
         with contextlib.suppress(ConnectionError):
             return await asyncio.wait_for(self.reader.read(), 20)
         return b""
 
 
 class StandIn:
-    """A listening stand-in: its connections come out of `peers` in the order in which they were opened."""
+    """A listening stand-in; `next_connection` gives its connections in the order of their opening."""
 
     def __init__(self) -> None:
         self.new_connections: asyncio.Queue[StandInConnection] = asyncio.Queue()
@@ -109,7 +109,7 @@
 
 @dataclass
 class Scene:
-    """One ingress between its parties."""
+    """One ingress with stand-ins for servers, discovery agent and, where it has one, the counter."""
 
     exchange: GatedExchange
     clients: Clients
@@ -125,7 +125,7 @@
         return self.exchange.reducer.state
 
     def pass_time(self, duration: timedelta) -> None:
-        """Time moves on; what is due by then happens."""
+        """Moves the time on and runs the timers that are due by then."""
         self.now += duration
         self.exchange.report(events.WakeUpDue())
 
@@ -156,7 +156,7 @@
 
 
 async def wait_until(condition: Callable[[], Any]) -> None:
-    """Lets the loop turn until something holds; fails where it never does."""
+    """Lets the event loop run until a condition holds; fails after 20 s."""
 
     async def poll() -> None:
         while not condition():
@@ -169,7 +169,7 @@
 async def scene(
     server_count: int = 1, settings: interface.Settings = SETTINGS_WITHOUT_COUNTER, **changes: Any
 ) -> AsyncIterator[Scene]:
-    """Where the settings have a counter, it is a party, too."""
+    """An ingress and its stand-ins; `changes` are further fields of IngressConfig."""
     servers = [await StandIn().start() for _ in range(server_count)]
     server_list = await StandIn().start()
     counter = await StandIn().start() if settings.use_counter else None
@@ -213,7 +213,7 @@
 
 
 async def first_connection(scene: Scene) -> tuple[int, StandInConnection]:
-    """The stock node that gets the next connection, and that."""
+    """The index of the server that gets the next connection, and that connection."""
     waiting = [asyncio.create_task(stand_in.next_connection()) for stand_in in scene.servers]
     done, pending = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     for task in pending:
@@ -237,7 +237,7 @@
     is_complete: object = False,
     indent: int | None = None,
 ) -> None:
-    """The node list's answer to a watch."""
+    """Answers a request for the server list."""
     connection.send(
         ok_response(
             json.dumps({"seq": version, "whole": is_complete, "hosts": entries}, indent=indent).encode()
@@ -246,7 +246,7 @@
 
 
 def run_scene(scenario: Callable[[], Awaitable[None]]) -> None:
-    """On the loop that the program runs on: loops differ in what they read and tell in one turn."""
+    """Runs on uvloop, as the program does: loops differ in the events that they report in one turn."""
     uvloop.run(asyncio.wait_for(scenario(), 60))
 
 
--- a/tests/reducer_rig.py
+++ b/tests/reducer_rig.py
@@ -1,4 +1,4 @@
-"""A reducer with a hand on everything round it: time, stock nodes, quota counter, node list."""
+"""A reducer without sockets, for tests that control time, servers, the quota counter and the server list."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         self.effects += self.reducer.step(event, self.now)
 
     def pass_time(self, duration: timedelta) -> None:
-        """Time goes by, with every wake-up on the way."""
+        """Moves the time on and runs every timer that becomes due, at its own time."""
         until = self.now + duration
         while self.reducer.timers and self.reducer.timers[0][0] <= until:
             self.now = max(self.now, self.reducer.timers[0][0])
@@ -73,18 +73,18 @@
         self.now = until
 
     def wait_until_reusable(self) -> None:
-        """So long that a connection which has brought an answer may be used again."""
+        """Waits until a connection that has just brought an answer may be used again."""
         self.pass_time(self.reducer.config.reuse_delay)
 
     def open_connections(self) -> None:
-        """Every connection asked for comes up."""
+        """Opens every connection that the reducer has asked for."""
         for effect in list(self.effects):
             if isinstance(effect, effects.OpenConnection) and effect.connection_id not in self.opened:
                 self.opened.add(effect.connection_id)
                 self.step(events.ConnectionOpened(effect.connection_id))
 
     def open_list_connection(self) -> None:
-        """The connection for the node list comes up, and no other."""
+        """Opens the connection to the discovery agent, and no other."""
         for effect in list(self.effects):
             if (
                 isinstance(effect, effects.OpenConnection)
@@ -139,7 +139,7 @@
             self.answer_counter(total=0.0)
 
     def admit(self, class_index: int) -> int:
-        """An order of an account of its own, let in and sent on."""
+        """A request of an account of its own that is admitted and sent to a server."""
         request_id = self.request(class_index, account=1000 + self.last_request_id)
         self.answer_counter(total=1.0)
         self.answer_last_window()
@@ -159,7 +159,7 @@
         return [e for e in self.effects if isinstance(e, effects.AnswerClient)]
 
     def record_gateway_events(self) -> list[interface.Event]:
-        """All that the decisions hear from now on."""
+        """A list to which all events are added that the gateway gets from now on."""
         recorded: list[interface.Event] = []
         handle_really = self.reducer.gateway.handle
 
--- a/tests/test_client_states.py
+++ b/tests/test_client_states.py
@@ -1,4 +1,4 @@
-"""A model of a client connection's states, and random steps checked against it."""
+"""Random steps on clients' connections, checked against a model of their states."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ClientState(Enum):
-    """As docs/architecture.md has them; one that has ended, or was told to, is not kept."""
+    """The states of docs/architecture.md; a connection that has ended, or was told to, has none."""
 
     NEW = "silent"
     SENDING_HEAD = "arriving"
@@ -25,7 +25,7 @@
     IDLE = "kept"
 
 
-# Those that may be closed: nothing is owed over them.
+# The states in which a connection may be closed: it has no open request.
 CLOSABLE = (ClientState.NEW, ClientState.SENDING_HEAD, ClientState.IDLE)
 
 
@@ -34,31 +34,31 @@
         super().__init__()
         self.rig = ReducerRig(max_clients=6, keep_alive_limit=4, counter_address="")
         self.model: dict[int, ClientState] = {}
-        self.open_requests: dict[int, int] = {}  # open orders, and whose
+        self.open_requests: dict[int, int] = {}  # the client of each
         self.draining = self.idle_closed = False
         self.kill_at = START
         self.client_count = self.effects_read = 0
         self.follow_effects()
 
     def follow_effects(self) -> None:
-        """Moves the model by the effects alone; an effect that its state forbids fails."""
+        """Updates the model by the effects since the last call; fails on one that its state forbids."""
         while self.effects_read < len(self.rig.effects):
             effect = self.rig.effects[self.effects_read]
             self.effects_read += 1
             if isinstance(effect, effects.CloseClient):
-                assert self.model.pop(effect.client_id) in CLOSABLE, "closed while something is owed over it"
+                assert self.model.pop(effect.client_id) in CLOSABLE, "closed with an open request"
             elif isinstance(effect, effects.AnswerClient):
                 client_id = self.open_requests.pop(effect.request_id)
                 assert self.model[client_id] is ClientState.WAITING
-                assert effect.close_connection or not self.draining, "a leaving ingress keeps a connection"
+                assert effect.close_connection or not self.draining, "kept alive while draining"
                 self.model[client_id] = ClientState.IDLE
             elif isinstance(effect, effects.Exit):
-                assert self.draining and not self.open_requests, "it leaves while an answer is owed"
+                assert self.draining and not self.open_requests, "exits with an open request"
                 late = self.rig.now >= self.kill_at - EXIT_MARGIN
-                assert not self.has_any(ClientState.SENDING_BODY) or late, "it leaves a body half read"
-                assert not self.has_any(ClientState.SENDING_HEAD) or late, "it leaves a request half read"
+                assert not self.has_any(ClientState.SENDING_BODY) or late, "exits with a body half read"
+                assert not self.has_any(ClientState.SENDING_HEAD) or late, "exits with a head half read"
             elif isinstance(effect, effects.StopReadingBodies):
-                # As the wire does: what has not come whole is answered at once.
+                # The wire answers requests with incomplete bodies at once.
                 for client_id in [
                     sending
                     for sending, client_state in self.model.items()
@@ -69,7 +69,7 @@
 
     def step(self, event: events.Event) -> None:
         self.rig.step(event)
-        for position in range(self.effects_read, 10**9):  # the counter's calls and their answers' own
+        for position in range(self.effects_read, 10**9):  # also effects of the answers below
             if position == len(self.rig.effects):
                 break
             effect = self.rig.effects[position]
@@ -83,14 +83,14 @@
         self.follow_effects()
 
     def pass_time(self, duration: timedelta) -> None:
-        """Time goes by, and what is due happens at its own instant."""
+        """Moves the time on and runs every timer that becomes due, at its own time."""
         until = self.rig.now + duration
         while self.rig.reducer.timers and self.rig.reducer.timers[0][0] <= until:
             self.rig.now = max(self.rig.now, self.rig.reducer.timers[0][0])
             self.step(events.WakeUpDue())
         self.rig.now = until
         if self.draining and until >= self.kill_at - ANSWER_MARGIN:
-            assert not self.open_requests, "SIGKILL may come, and an answer is owed"
+            assert not self.open_requests, "SIGKILL may come with a request open"
 
     def pick_client(self, pick: int, *states: ClientState) -> int:
         clients = sorted(
@@ -184,9 +184,7 @@
     def close_idle(self) -> None:
         self.idle_closed = True
         self.step(events.CloseIdleRequested())
-        assert not self.has_any(ClientState.NEW, ClientState.IDLE), (
-            "they are closed, and read before if need be"
-        )
+        assert not self.has_any(ClientState.NEW, ClientState.IDLE), "idle clients are closed"
 
     @invariant()
     def state_agrees_with_the_model(self) -> None:
@@ -206,11 +204,11 @@
             state.clients_waiting,
             state.clients_idle,
         )
-        assert sum(map(len, sets)) == len(self.model), "in one state at a time"
+        assert sum(map(len, sets)) == len(self.model), "each client is in one state"
         assert {request.id: request.client_id for request in state.requests.values()} == self.open_requests
 
     def teardown(self) -> None:
-        """Whatever happened: every order has its answer, and one that was asked to stop has left in time."""
+        """Whatever happened, every request has its answer, and a drain has ended in time."""
         self.pass_time(timedelta(seconds=8))
         assert not self.open_requests and not self.has_any(
             ClientState.NEW, ClientState.SENDING_HEAD, ClientState.IDLE
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped by an hour, folders cannot be written: spans stay spans, what is owed is kept."""
+"""Faults of the machine: the wall clock is stepped by an hour, the disk is full, nobody reads the log."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def window_names(counter: harness.Seen) -> set[bytes]:
-    """The names of the windows that were charged."""
+    """The counter names that were charged; each stands for one window."""
     return {request.split(b" ")[1].partition(b"?")[0] for request in counter.requests if b"by=2" in request}
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
 def test_an_upgrade_over_a_stepped_clock_keeps_windows_and_bans(step: int) -> None:
-    # A window of this quota is 5 s long, so that the charges of both processes fall into two at most.
+    # A window of this quota is 5 s long, so both processes together charge two at most.
     async def scenario() -> None:
         with socket.socket() as listener, tempfile.TemporaryDirectory() as scratch:
             listener.bind(("127.0.0.1", 0))
@@ -58,7 +58,7 @@
                     assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
                     assert b" 200 " in await new.ask("GET", "/stock-check")
                 assert shim.given("wall_clock") > 0
-                assert 1 <= len(window_names(counter)) <= 3, "an hour lies between the windows of the two"
+                assert 1 <= len(window_names(counter)) <= 3, "the two processes charge windows an hour apart"
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
@@ -150,11 +150,11 @@
             harness.party(harness.silent) as (list_address, _),
             harness.ingress(server_address, counter_address, list_address) as ingress,
         ):
-            # The reading end of its standard error is closed: each line written there fails from now on.
+            # Closes the reading end of its standard error: writing a log line fails from now on.
             transport = ingress.process._transport.get_pipe_transport(2)  # type: ignore[attr-defined]
             transport.close()
             await asyncio.sleep(0)
-            assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")  # writes a line
+            assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")  # writes a log line
             assert (await ingress.call(b"maint-off s-1\n")).startswith(b"200")
             assert b" 200 " in await ingress.ask("GET", "/stock-check")
             ingress.process.send_signal(signal.SIGTERM)
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -1,4 +1,4 @@
-"""A model of a stock node connection's states, and random steps checked against it."""
+"""Random steps on connections to servers, checked against a model of their states."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class ServerConnections(RuleBasedStateMachine):
-    """The model: each connection is opening, idle or busy until it ends, and knows nothing of the reducer.
+    """The model: a connection is opening, idle or busy until it ends. It knows the effects, not the reducer.
 
-    An idle one settles first: until then it carries nothing.
+    An idle connection may only be used again after the reuse delay.
     """
 
     def __init__(self) -> None:
@@ -27,13 +27,13 @@
         self.idle_since: dict[int, datetime] = {}
         self.health = dict.fromkeys((1, 2), Health.READY)
         self.started = dict.fromkeys((1, 2), 0.0)
-        self.opened_to: dict[int, tuple[int, float]] = {}  # which a connection was opened to
+        self.opened_to: dict[int, tuple[int, float]] = {}  # server and its start, by connection
         self.open_requests: set[int] = set()
         self.effects_read = 0
         self.follow_effects()
 
     def follow_effects(self) -> None:
-        """Moves the model by the effects alone; an effect that its state forbids fails."""
+        """Updates the model by the effects since the last call; fails on one that its state forbids."""
         for effect in self.rig.effects[self.effects_read :]:
             if (
                 isinstance(effect, effects.OpenConnection)
@@ -46,10 +46,10 @@
                 assert self.model[effect.connection_id] in (ConnectionState.IDLE, ConnectionState.OPENING)
                 if self.model[effect.connection_id] is ConnectionState.IDLE:
                     settled = self.rig.now - self.idle_since[effect.connection_id]
-                    assert settled >= self.rig.reducer.config.reuse_delay, "it has not settled"
+                    assert settled >= self.rig.reducer.config.reuse_delay, "it is used again too soon"
                 self.model[effect.connection_id] = ConnectionState.BUSY
                 server_id, started = self.opened_to[effect.connection_id]
-                assert self.health[server_id] is Health.READY, "written to a node that is to get nothing more"
+                assert self.health[server_id] is Health.READY, "written to a server that is not ready"
                 assert self.started[server_id] == started, "written to a connection to a process that is gone"
             elif isinstance(effect, effects.CloseConnection):
                 self.model.pop(effect.connection_id, None)
@@ -76,7 +76,7 @@
                 timedelta(milliseconds=time_left_ms), 1.0, 2, 0, False, self.rig.last_request_id,
             )
         )  # fmt: skip
-        for n in range(self.effects_read, 10**9):  # the counter's calls and their answers' own
+        for n in range(self.effects_read, 10**9):  # also effects of the answers below
             if n == len(self.rig.effects):
                 break
             effect = self.rig.effects[n]
@@ -91,17 +91,18 @@
 
     @rule(server_id=st.integers(1, 2), health=st.sampled_from([*Health]), again=st.booleans())
     def update_list(self, server_id: int, health: Health, again: bool) -> None:
-        """A stock node drains, goes, is back; perhaps as another process."""
+        """The list reports that a server drains, is gone or ready, perhaps as another process."""
         state = self.rig.reducer.state
         while (connection_id := self.rig.last_list_request().connection_id) not in state.connections:
-            self.rig.pass_time(timedelta(milliseconds=50))  # up to the next dial
+            # Until the connection to the agent is opened again.
+            self.rig.pass_time(timedelta(milliseconds=50))
             self.rig.open_list_connection()
-        self.follow_effects()  # up to here the list before holds: nobody can know of this one
+        self.follow_effects()  # what happened up to here follows the previous list
         self.health[server_id] = health
         self.started[server_id] += again
         server, version = listed_server(server_id, health, self.started[server_id]), self.rig.next_version()
         self.rig.step(events.ServerListAnswered(connection_id, True, version, ListKind.CHANGES, (server,)))
-        assert state.list_version == version, "a list over a living watch was not heard"
+        assert state.list_version == version, "a list over a working connection was ignored"
         self.follow_effects()
 
     @precondition(lambda self: self.has_any(ConnectionState.OPENING))
@@ -169,7 +170,7 @@
         assert set(state.requests) == self.open_requests
 
     def teardown(self) -> None:
-        """Whatever happened, every order has its answer once its time is up."""
+        """Whatever happened, every request has its answer once its time is up."""
         self.rig.pass_time(timedelta(seconds=4))
         self.follow_effects()
         assert not self.open_requests and not self.rig.reducer.state.attempts
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""The shutdown's one schedule, on the reducer: what every open request hears before SIGKILL may come."""
+"""The drain on the reducer: every open request is answered before SIGKILL may come."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.reducer_rig import CHECK, PLACE, SETTINGS, START, ReducerRig, ingress_config
 
 MS = timedelta(milliseconds=1)
-LONG_DEADLINES = tuple(replace(c, deadline=8.0) for c in SETTINGS.classes)  # longer than the kill waits
+LONG_DEADLINES = tuple(replace(c, deadline=8.0) for c in SETTINGS.classes)  # longer than the time to SIGKILL
 
 
 def rig_with_long_deadlines(**changes: object) -> ReducerRig:
@@ -22,7 +22,7 @@
 
 
 def dialling(rig: ReducerRig, class_index: int) -> int:
-    """An order whose connection to its server does not come up."""
+    """A request whose connection to its server is not opened."""
     request_id = rig.last_request_id + 1
     rig.last_request_id = request_id
     http_request = events.HttpRequest("POST", "/place-order", f"id-{request_id}", (), b"")
@@ -91,7 +91,7 @@
 ) -> None:
     rig = rig_with_long_deadlines()
     rig.step(events.ClientConnected(99))
-    rig.step(events.RequestHeadStarted(99))  # keeps the process from leaving
+    rig.step(events.RequestHeadStarted(99))  # keeps the process from exiting
     rig.step(events.DrainRequested(has_successor))
     asked = rig.now
     rig.pass_time(late_ms * MS)
@@ -100,16 +100,16 @@
     while rig.now < asked + min_time_to_kill(LONG_DEADLINES) - ANSWER_MARGIN:
         rig.pass_time(MS)
     answers = [a for a in rig.answers if a.request_id == request_id]
-    assert len(answers) == 1, "one final answer, with time for a process that is held up"
+    assert len(answers) == 1, "one final answer, early enough for a process that stalls"
     assert answers[0].close_connection
-    # What may have run is not called refused, unless to run twice does no harm.
+    # What may have run is not answered as refused, unless running twice does no harm.
     assert answers[0].status in ((502, 504) if sent_on and class_index == PLACE else (429, 502, 504))
     if answers[0].status == 429:
         assert answers[0].retry_after
     before = len(rig.effects)
     rig.pass_time(timedelta(seconds=10))
     assert not [e for e in rig.effects[before:] if isinstance(e, effects.SendAttempt)], (
-        "given up, and sent on"
+        "sent after its answer"
     )
 
 
@@ -150,7 +150,7 @@
     rig.step(events.DrainRequested())
     rig.pass_time(min_time_to_kill(LONG_DEADLINES) - ANSWER_MARGIN)
     assert [(a.status, a.close_connection) for a in rig.answers if a.request_id == 70] == [(408, True)]
-    assert effects.StopReadingBodies() in rig.effects, "the other is no order yet"
+    assert effects.StopReadingBodies() in rig.effects, "the other request has not been reported as received"
     rig.step(events.RequestDiscarded(8))
     assert effects.Exit() in rig.effects
 
@@ -162,7 +162,7 @@
     rig.step(events.StreamedAnswerStarted(rig.last_attempt().connection_id, "", None, {}))
     rig.step(events.DrainRequested())
     rig.pass_time(min_time_to_kill(LONG_DEADLINES) - ANSWER_MARGIN)
-    assert effects.Exit() not in rig.effects, "it may still become whole"
+    assert effects.Exit() not in rig.effects, "the answer may still be completed"
     rig.pass_time(ANSWER_MARGIN)
     aborts = [e for e in rig.effects if isinstance(e, effects.AbortClient)]
     assert len(aborts) == 1 and rig.effects.index(aborts[0]) < rig.effects.index(effects.Exit())
@@ -184,7 +184,7 @@
     )
     assert schedule.kill - schedule.answer_all > MAX_STALL + ingress_config().wake_up_slack
     if not has_successor:
-        assert schedule.close_idle - START >= 400 * MS, "new connections are dealt out for so long"
+        assert schedule.close_idle - START >= 400 * MS, "the platform sends new connections for so long"
 
 
 def test_a_second_drain_request_gives_no_more_time() -> None:
--- a/tests/test_races_attempts.py
+++ b/tests/test_races_attempts.py
@@ -1,4 +1,7 @@
-"""Pairs of events round attempts, the counter and clients that leave, in the order that does harm."""
+"""Races on real connections: attempts, counter calls, and clients that leave.
+
+Each test brings two events about in the order that would do harm.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +47,7 @@
 async def first_connection_unless_read(
     running: Scene, reading: asyncio.Task[list[tuple[StandInConnection, str, float]]]
 ) -> tuple[int, StandInConnection]:
-    """As `first`; a further call that only reads is answered with nothing."""
+    """As `first_connection`; a counter call that only reads, and comes first, is answered with 0."""
     getting = asyncio.create_task(first_connection(running))
     await asyncio.wait([getting, reading], return_when=asyncio.FIRST_COMPLETED)
     if reading.done():
@@ -61,7 +64,7 @@
 
 
 def assert_nothing_left(running: Scene) -> None:
-    """Nothing of any request: in the books, at the sockets, with whoever waits."""
+    """No trace of a request is left in the reducer's state, at the sockets or in the wire."""
     state, clients = running.state, running.clients
     assert (
         not state.requests
@@ -143,10 +146,10 @@
             await wait_until(lambda: running.state.streams)
             connection.reset()
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
-                # Framed in chunks, whose last never comes, or reset: its client can tell either way.
+                # A reset, or chunks of which the last never comes: either way the client can tell.
                 while True:
                     size = int((await asyncio.wait_for(reader.readuntil(b"\r\n"), 20)).strip(), 16)
-                    assert size, "its end must not look like a whole answer's"
+                    assert size, "a last chunk would make it look complete"
                     await reader.readexactly(size + 2)
             writer.close()
             await wait_until(lambda: not running.state.streams)
@@ -166,9 +169,8 @@
             running.pass_time(timedelta(seconds=2))
             sock = connection.writer.get_extra_info("socket")
             connection.reset()
-            await wait_until(
-                lambda: sock.fileno() == -1
-            )  # the reset is in the kernel, the ingress has not heard
+            # The reset is in the kernel, but the ingress has not noticed it.
+            await wait_until(lambda: sock.fileno() == -1)
             other = await running.send_request(place_request("two"))
             _, fresh = await first_connection(running)
             assert b"two" in await fresh.read_request()
@@ -223,7 +225,7 @@
 
 @pytest.mark.parametrize("late", [False, True])
 def test_a_keyed_repeat_waits_no_longer_than_its_window(late: bool) -> None:
-    # The retry's own wait, for a stock node that could take it, outlasts the window.
+    # The wait before the retry may be longer than the window in which servers recognise it.
     async def scenario() -> None:
         async with scene(server_count=2, settings=KEYED) as running:
             answer = await running.send_request(place_request("one"))
@@ -245,7 +247,7 @@
 
 # --- the quota counter -------------------------------------------------------------------------------------
 async def read_call(connection: StandInConnection) -> tuple[str, float]:
-    """A call's name and amount."""
+    """The name and amount of the next call on a connection."""
     found = re.match(rb"POST /counters/([0-9a-f]+)\?by=([-0-9.]+)&", await connection.read_request())
     assert found is not None
     return found[1].decode(), float(found[2])
@@ -256,7 +258,7 @@
 
 
 async def read_calls(running: Scene, count: int) -> list[tuple[StandInConnection, str, float]]:
-    """The next calls, over however many connections."""
+    """The next calls of the counter, on whichever connections they come."""
     assert running.counter is not None
     found: list[tuple[StandInConnection, str, float]] = []
     reading: dict[asyncio.Task[tuple[str, float]], StandInConnection] = {}
@@ -317,9 +319,9 @@
             ((old, name, _),) = await read_calls(running, 1)
             moved = running.counter = await type(running.counter)().start()
             running.exchange.report(AddressesChanged(moved.address, running.state.server_list_address))
-            old.send(total_response(2.0))  # on its way as the connection is left
+            old.send(total_response(2.0))  # on its way while the connection is closed
             ((new, again, amount),) = await read_calls(running, 1)
-            assert (again, amount) == (name, 0.0), "the total is read once more, and nothing charged twice"
+            assert (again, amount) == (name, 0.0), "the total is read again, and nothing is charged twice"
             new.send(total_response(2.0))
             reading = asyncio.create_task(read_calls(running, 1))  # of the last window
             _, node = await first_connection_unless_read(running, reading)
@@ -337,18 +339,17 @@
         async with scene(settings=SETTINGS) as running:
             answer = await running.send_request(place_request("one"))
             ((connection, name, _),) = await read_calls(running, 1)
-            running.pass_time(100 * MS)  # past its time: the decisions go on alone
+            running.pass_time(100 * MS)  # past its timeout: the gateway decides without it
             _, node = await first_connection(running)
             await node.read_request()
             node.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
-            running.exchange.reducer.gateway.call_share = 1.0  # as if the counter were well again
+            running.exchange.reducer.gateway.call_share = 1.0  # as if the counter worked again
             other = await running.send_request(place_request("two"))
             ((same, again, _),) = await read_calls(running, 1)
             assert same is connection and again == name
-            connection.send(
-                total_response(45.0)
-            )  # the first call's, late: nothing of the quota would be left
+            # The first call's answer, late: taken for the second's, it would leave nothing of the quota.
+            connection.send(total_response(45.0))
             (protocol,) = running.state.counter_connections.values()
             await wait_until(lambda: len(protocol.unanswered_calls) == 1)
             connection.send(total_response(4.0))
@@ -376,7 +377,7 @@
     writers = []
     for n, name in enumerate(names):
         _, writer = await running.connect_client()
-        writer.write(place_request(name).replace(b"b4d65521", b"%08x" % n))  # an account of its own
+        writer.write(place_request(name).replace(b"b4d65521", b"%08x" % n))  # each of its own account
         writers.append(writer)
     await wait_until(lambda: len(running.state.requests) == len(names))
     return writers
@@ -422,7 +423,7 @@
             _, connection = await first_connection(running)
             await connection.read_request()
             writer.transport.abort()
-            connection.reset()  # in the same turn: what comes first must not matter
+            connection.reset()  # in the same turn of the loop: the order must not matter
             await wait_until(lambda: not running.state.requests)
             running.pass_time(timedelta(seconds=1))
             assert attempts_received(running) == 1
@@ -433,8 +434,9 @@
 
 @pytest.mark.parametrize("how", ["a close", "a reset"])
 def test_a_client_that_leaves_while_its_long_body_is_unread_is_not_forwarded(how: str) -> None:
-    # What waits for a node is read no further, and the loop would meet the client's end by reading alone.
-    buffered, unread = 70 * 1024, 620 * 1024  # what is held of it, and what lies here and there
+    # A request that waits for a connection is read no further, and only reading tells the loop of the
+    # client's end.
+    buffered, unread = 70 * 1024, 620 * 1024  # bytes
 
     async def scenario() -> None:
         async with scene() as running:
@@ -466,7 +468,7 @@
 
 @pytest.mark.parametrize("ends", ["its sending side", "with a request behind"])
 def test_a_client_that_has_ended_its_connection_is_noticed(ends: str) -> None:
-    # The end of the sending side cannot be told from a close; what stands behind is not read any more.
+    # A client that only ends its sending side looks like one that has closed. A request behind is not read.
     async def scenario() -> None:
         async with scene() as running:
             running.exchange.gate.clear()
@@ -500,9 +502,9 @@
             connection.send(ok_response(b"first"))
             assert (await first).endswith(b"first")
             await wait_until(lambda: not running.clients.numbers)
-            running.pass_time(30 * MS)  # its connection to the node can be used at once
+            running.pass_time(30 * MS)  # its connection to the server can be used again
             assert running.clients.listener is not None
-            # All in one turn: the loop finds a request and its client's end.
+            # In one turn the loop finds a request and the end of its client's connection.
             late = socket.create_connection(running.clients.listener.address)
             late.send(check_request("late"))
             if end == "reset":
@@ -512,7 +514,7 @@
             assert running.state.statistics.attempts == 1 and not running.state.requests
             ended = asyncio.create_task(connection.reader.read())
             await asyncio.sleep(0)
-            assert not ended.done() or ended.result() == b"", "it was sent on"
+            assert not ended.done() or ended.result() == b"", "it was forwarded"
             ended.cancel()
             late.close()
 
@@ -535,7 +537,8 @@
             for flood in floods:
                 flood.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 flood.close()
-            # Whether an end is read before another's request in one turn of the loop is the system's order.
+            # The system decides whether a close or another client's request is read first in a turn of the
+            # loop.
             await wait_until(lambda: not running.clients.numbers)
             answer = await running.send_request(check_request("good").replace(b"b4d65521", b"00000001"))
             good = asyncio.create_task(_answer_with_correlation_id(running))
@@ -548,7 +551,7 @@
 
 
 async def _answer_with_correlation_id(running: Scene) -> None:
-    """The stock node answers everyone with the id that it was asked under."""
+    """Answers each request at the first server with its correlation ID."""
 
     async def talk(connection: StandInConnection) -> None:
         while True:
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -1,4 +1,7 @@
-"""Pairs of events on connections from clients, in the order that does harm, on real connections."""
+"""Races on clients' connections, which are real ones.
+
+Each test brings two events about in the order that would do harm.
+"""
 
 from __future__ import annotations
 
@@ -18,12 +21,12 @@
 
 
 class Client:
-    """A client whose bytes are in the kernel before the ingress's loop turns again."""
+    """A client whose bytes are in the kernel before the ingress's event loop runs again."""
 
     def __init__(self, running: Scene, small_buffer: bool = False) -> None:
         assert running.clients.listener is not None
         self.socket = socket.socket()
-        if small_buffer:  # so that most of an answer waits at the ingress
+        if small_buffer:  # most of an answer has to wait at the ingress
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         self.socket.connect(running.clients.listener.address)
         self.socket.setblocking(False)
@@ -32,11 +35,11 @@
         assert self.socket.send(data) == len(data)
 
     def flood(self, data: bytes) -> None:
-        """More than a turn of the loop reads, as far as the kernel takes it."""
+        """Sends more than a turn of the loop reads, as far as the kernel takes it."""
         assert self.socket.send(data + b"x" * 4_000_000) > 300_000
 
     async def wait_for_data(self) -> None:
-        """Something has come."""
+        """Waits until something has come."""
 
         def some() -> bool:
             try:
@@ -54,7 +57,7 @@
             writer.close()
 
     async def read_to_end(self) -> bytes:
-        """All up to the connection's end, which must be no reset."""
+        """All bytes up to the end of the connection, which must not be a reset."""
         reader, writer = await asyncio.open_connection(sock=self.socket)
         try:
             return await asyncio.wait_for(reader.read(), 20)
@@ -73,7 +76,7 @@
 
 
 async def serve_request(running: Scene, name: str, duration: float = 0.0) -> None:
-    """The one stock node gets that request, and answers it."""
+    """The first server gets this request and answers it."""
     while True:
         connection = await running.servers[0].next_connection()
         if name.encode() in await connection.read_request():
@@ -89,7 +92,7 @@
 def test_an_unread_request_on_a_connection_about_to_be_closed_is_answered(
     end: Callable[[Scene], None],
 ) -> None:
-    # Guards it against the reset of a close over unread bytes.
+    # Closing a connection with unread bytes sends a reset, and the request would get no answer.
     async def scenario() -> None:
         async with scene() as running:
             client = Client(running)
@@ -121,7 +124,7 @@
             client.send(data[:40])
             await wait_until(lambda: running.state.clients_sending_head)
             start_drain(running)
-            assert not running.exited, "somebody is still asking"
+            assert not running.exited, "a request is still coming"
             client.send(data[40:])
             await serve_request(running, "one")
             answer = await client.read_answer()
@@ -150,7 +153,7 @@
             clients_by_name = {name: Client(running) for name in ("one", "two")}
             for name, client in clients_by_name.items():
                 client.send(check_request(name))
-            start_drain(running)  # before the loop has turned
+            start_drain(running)  # before the loop has run
             closing = asyncio.create_task(running.clients.close())
             for _ in clients_by_name:
                 connection = await running.servers[0].next_connection()
@@ -164,7 +167,7 @@
 
 
 def test_a_request_unread_at_the_decision_to_exit_is_answered() -> None:
-    # Guards the turns between the choice to leave and the end: a request may be read in any of them.
+    # A request may be read in any turn of the loop between the decision to exit and the end.
     async def scenario() -> None:
         async with scene() as running:
             client = Client(running)
@@ -172,10 +175,9 @@
             client.send(check_request("late"))
             start_drain(running)
             assert running.exited
-            serving = asyncio.create_task(
-                serve_request(running, "late", duration=0.3)
-            )  # longer than a forced end waits
-            await running.clients.close()  # its first step is taken before the loop has turned
+            # It takes longer than a forced end waits.
+            serving = asyncio.create_task(serve_request(running, "late", duration=0.3))
+            await running.clients.close()  # begins before the loop has run
             await serving
             assert (await client.read_answer()).endswith(b"late")
 
@@ -186,7 +188,7 @@
 
 
 async def start_last_answer(running: Scene, client: Client) -> None:
-    """The ingress is leaving, and has begun to write its last, long answer to that caller."""
+    """Brings the ingress to drain and to begin writing its last, long answer to this client."""
     client.send(check_request("one"))
     connection = await running.servers[0].next_connection()
     await connection.read_request()
@@ -239,7 +241,7 @@
     ids=["too long", "unknown", "no request", "to be closed"],
 )
 def test_a_malformed_request_gets_an_answer_and_an_orderly_close(data: bytes) -> None:
-    # Guards its client, which still writes, against a reset in place of the answer.
+    # Its client is still writing, and must not get a reset in place of the answer.
     async def scenario() -> None:
         async with scene() as running:
             client = Client(running)
@@ -267,7 +269,7 @@
                 except BlockingIOError:
                     pass
                 except OSError:
-                    break  # it has been ended
+                    break  # the ingress has closed it
                 await asyncio.sleep(0)
             await wait_until(lambda: not running.clients.numbers)
             assert connection.dropped < clients.MOST_LINGER + 1024 * 1024
@@ -290,7 +292,7 @@
             assert running.exited
             closing = asyncio.create_task(running.clients.close())
             _, pending = await asyncio.wait([closing], timeout=0.3)
-            assert pending, "all of it would be lost with the process"
+            assert pending, "the rest of the answer would be lost with the process"
             assert (await client.read_to_end()).endswith(BODY)
             await closing
 
@@ -318,7 +320,7 @@
 
 
 def test_an_ingress_stopped_while_it_starts_serves_nobody(tmp_path: Path) -> None:
-    # An old process that is there and says nothing holds up the start; SIGTERM comes meanwhile.
+    # An old process that does not answer delays the start, and SIGTERM comes meanwhile.
     async def scenario() -> None:
         asked, release = asyncio.Event(), asyncio.Event()
 
--- a/tests/test_races_server_list.py
+++ b/tests/test_races_server_list.py
@@ -1,4 +1,7 @@
-"""Pairs of events on the watch of the node list, in the order that does harm, on real connections."""
+"""Races on the connection to the discovery agent, which is a real one.
+
+Each test brings two events about in the order that would do harm.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 
 
 async def next_list_request(running: Scene, stand_in: StandIn | None = None) -> tuple[StandInConnection, str]:
-    """The next connection for a watch, and what is asked over it."""
+    """The next connection to the agent, and the target of the request that comes over it."""
     connection = await (stand_in or running.server_list).next_connection()
     return connection, await read_list_request(connection)
 
@@ -48,7 +51,7 @@
 
 
 async def assert_forwarded_to(running: Scene, server_number: int) -> None:
-    """A new request is sent to that stock node and to no other."""
+    """A new request is forwarded to this server and to no other."""
     before = [len(p.all_connections) for p in running.servers]
     answer = await running.send_request(place_request(f"new-{server_number}"))
     connection = await running.servers[server_number].next_connection()
@@ -93,7 +96,7 @@
 
 
 def test_a_list_that_drips_for_ever_is_replaced_too() -> None:
-    # Guards against a silence timer that every byte sets back.
+    # The timeout must not start again with every byte.
     async def scenario() -> None:
         async with scene() as running:
             list_connection, _ = await next_list_request(running)
@@ -112,7 +115,7 @@
 
 
 def test_a_server_that_drains_just_after_a_list_reset_gets_no_new_request() -> None:
-    # The new watch is opened at once: not after a pause in which what is told counts as heard.
+    # The agent takes what it tells meanwhile for known, so the new connection is opened without a pause.
     async def scenario() -> None:
         async with scene(server_count=2) as running:
             list_connection, _ = await next_list_request(running)
@@ -165,7 +168,7 @@
     async def scenario() -> None:
         async with scene(server_count=2) as running:
             list_connection, _ = await next_list_request(running)
-            # The old answer is on its way, and lies in the kernel, as the watch is given up.
+            # The old answer is in the kernel when the connection is given up.
             answer_list(list_connection, 20, running.list_entry(0), running.list_entry(1), is_complete=True)
             await list_connection.writer.drain()
             running.pass_time(1400 * MS)
@@ -180,10 +183,10 @@
 @pytest.mark.parametrize(
     ("version", "is_complete", "accepted", "since"),
     [
-        (7, False, True, "since=7&"),  # the same again
-        (900, False, True, "since=900&"),  # it may jump
-        (3, False, False, None),  # changes of a list that was counted anew
-        (3, True, True, "since=3&"),  # the whole list, counted anew
+        (7, False, True, "since=7&"),  # the same version again
+        (900, False, True, "since=900&"),  # versions may be left out
+        (3, False, False, None),  # changes of a list whose versions have started again
+        (3, True, True, "since=3&"),  # the complete list, with such a version
     ],
 )
 def test_list_versions_that_repeat_jump_or_go_back(
@@ -208,7 +211,7 @@
                 await wait_until(lambda: not running.state.list_reachable)
                 running.pass_time(150 * MS)
                 other, again = await next_list_request(running)
-                assert "since" not in again, "the whole list is asked for"
+                assert "since" not in again, "the complete list is asked for"
                 answer_list(other, 3, running.list_entry(1), is_complete=True)
                 assert "since=3&" in await read_list_request(other)
                 await assert_forwarded_to(running, 1)
@@ -278,11 +281,11 @@
             new, first = await next_list_request(running, other)
             assert "since" not in first
             if state == "half a list":
-                list_connection.send(body[-5:])  # the old one's end comes all the same
+                list_connection.send(body[-5:])  # the rest of the old answer still comes
             answer_list(new, 2, running.list_entry(0, "terminating"), running.list_entry(1), is_complete=True)
             assert "since=2&" in await read_list_request(new)
             await assert_forwarded_to(running, 1)
-            running.pass_time(timedelta(milliseconds=900))  # what was due for the old one asks nobody
+            running.pass_time(timedelta(milliseconds=900))  # timers of the old connection ask nobody
             assert len(other.all_connections) == 1 and len(running.server_list.all_connections) == 1
             other.close()
 
@@ -329,7 +332,7 @@
 
 
 def test_an_agent_that_refuses_is_asked_again_within_seconds_where_lists_are_pushed() -> None:
-    # Guards against a pause longer than the time after which what it had to tell counts as told.
+    # After a longer pause the agent would take what it had to tell for known.
     async def scenario() -> None:
         async with scene() as running:
             for _ in range(8):
--- a/tests/test_races_upstream.py
+++ b/tests/test_races_upstream.py
@@ -1,4 +1,7 @@
-"""Pairs of events on connections to stock nodes, in the order that does harm, on real connections."""
+"""Races on connections to servers, which are real ones.
+
+Each test brings two events about in the order that would do harm.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 
 def test_a_late_second_answer_is_not_given_to_the_next_request() -> None:
-    # Guards against using a connection while what belongs to its last request may still be on its way there.
+    # A connection must not be used while bytes of its last request may still be on their way.
     async def scenario() -> None:
         async with scene() as running:
             first = await running.send_request(check_request("one"))
@@ -45,7 +48,7 @@
             assert (await first).endswith(b"one")
             second = await running.send_request(check_request("two"))
             await wait_until(lambda: running.state.attempts)
-            connection.send(ok_response(b"one"))  # the same again, after the next request has been let in
+            connection.send(ok_response(b"one"))  # again, after the next request was admitted
             other = await running.servers[0].next_connection()
             assert b"two" in await other.read_request()
             other.send(ok_response(b"two"))
@@ -72,7 +75,8 @@
 
 @pytest.mark.parametrize("change", ["terminating", "restarted", "moved", "gone", "banned"])
 def test_a_request_waiting_for_a_connection_goes_elsewhere_when_its_server_is_out(change: str) -> None:
-    # Guards against a send that was decided before a list came and is written a dial later, past the grace.
+    # The attempt is decided before the list changes. It must not be written when its connection opens later,
+    # as the server's grace may be over by then.
     async def scenario() -> None:
         async with scene(server_count=2) as running:
             list_connection = await running.server_list.next_connection()
@@ -97,10 +101,12 @@
             running.exchange.gate.set()
             if change != "restarted":
                 connection = await running.servers[1 - number].next_connection()
-            else:  # the new process may well be chosen: by what is listed now
+            else:  # the new process is listed and may be chosen
                 _, connection = await first_connection(running)
             await connection.read_request()
-            assert sum(len(p.all_connections) for p in running.servers) == 1, "the first dial was given up"
+            assert sum(len(p.all_connections) for p in running.servers) == 1, (
+                "the first connection was given up"
+            )
             connection.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
             assert not running.state.attempts
@@ -139,9 +145,8 @@
                     and not connections_to_servers(running, ConnectionState.BUSY)
                 )
                 second = await running.servers[1 - number].next_connection()
-                running.pass_time(
-                    timedelta(seconds=10)
-                )  # the connection, unused, is closed at the idle limit
+                # The unused connection is closed at the idle timeout.
+                running.pass_time(timedelta(seconds=10))
                 assert await second.read_to_end() == b""
             else:
                 second = await running.servers[1 - number].next_connection()
@@ -191,7 +196,7 @@
             running.exchange.gate.clear()
             answer = await running.send_request(place_request("one"))
             await wait_until(lambda: connections_to_servers(running, ConnectionState.OPENING))
-            running.pass_time(260 * MS)  # past the dial's limit: the decisions go to the other node
+            running.pass_time(260 * MS)  # past the dial timeout: the gateway tries the other server
             assert (
                 connections_to_servers(running, ConnectionState.OPENING)
                 == running.state.server_connection_count
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer's own promises, without a socket: orders, attempts, the quota counter, the node list."""
+"""Tests of the reducer without sockets: requests, attempts, the quota counter and the server list."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
             rig.last_attempt().connection_id, interface.End.OK, True, b"done", true_units=true_units
         )
     )
-    rig.request(PLACE, units=1.0)  # what is still to be settled rides on the account's next call
+    rig.request(PLACE, units=1.0)  # the difference is settled with the account's next call
     assert rig.last_counter_call().amount == charged - 2.0 + 1.0
 
 
@@ -202,7 +202,7 @@
 
 
 def test_a_server_list_that_refuses_is_asked_with_growing_random_pauses() -> None:
-    # Guards a node list shared by 40 ingresses: each was turned away and asked again 100 ms later, for ever.
+    # With a server list shared by 40 ingresses, each was refused and asked again 100 ms later, for ever.
     rigs = [ReducerRig(seed=n) for n in range(8)]
     for rig in rigs:
         for _ in range(6):
@@ -211,7 +211,7 @@
             while len(rig.list_requests()) == asked:
                 rig.pass_time(timedelta(milliseconds=100))
                 rig.open_connections()
-        assert rig.last_list_request().since_version == 7, "what was told before is asked on from"
+        assert rig.last_list_request().since_version == 7, "it goes on from the version that it knows"
         assert rig.now - START > timedelta(seconds=4)
         assert [e.text for e in rig.effects if isinstance(e, effects.Log)] == [
             "node list: has no turn for us; asking again, later each time"
@@ -220,7 +220,7 @@
 
 
 def test_forty_ingresses_that_start_at_once_spread_their_requests_for_the_list() -> None:
-    # A herd that asked at once was turned away, and what it had asked for kept the others waiting for a day.
+    # When all asked at once they were refused, and what they had asked for kept the others waiting for a day.
     rigs = [ReducerRig(seed=n, list_fleet_turn=timedelta(seconds=4)) for n in range(40)]
     first = []
     for rig in rigs:
@@ -236,7 +236,7 @@
     asked = len(rig.list_requests())
     rig.pass_time(timedelta(milliseconds=1900))
     rig.open_connections()
-    assert len(rig.list_requests()) == asked, "half a turn at least"
+    assert len(rig.list_requests()) == asked, "it waits half a turn at least"
 
 
 def test_a_silent_server_list_is_asked_anew_and_serving_goes_on() -> None:
@@ -260,9 +260,8 @@
     rig.admit(CHECK)
     connection_id = rig.last_attempt().connection_id
     rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
-    while (
-        rig.last_list_request().connection_id not in rig.reducer.state.connections
-    ):  # it may be between two watches
+    # There may be no connection to the agent just now.
+    while rig.last_list_request().connection_id not in rig.reducer.state.connections:
         rig.pass_time(timedelta(milliseconds=100))
         rig.open_connections()
     rig.step(
@@ -321,7 +320,7 @@
 
 
 def test_due_timers_run_with_other_events_or_at_a_wake_up_within_the_slack() -> None:
-    # Guards the hot path: a wake-up of its own for every timer, most of them due in vain, was 12% of the CPU.
+    # A wake-up of its own for every timer, most of which no longer apply when due, took 12% of the CPU.
     rig = ReducerRig()
     recorded = rig.record_gateway_events()
     rig.request(CHECK, time_left=timedelta(seconds=1))
@@ -383,7 +382,7 @@
 
 
 def test_nobody_waits_longer_than_the_deadline_of_the_class() -> None:
-    # Guards the memory too: what an order leaves behind is kept until its time is up.
+    # This also bounds the memory: a request's timers are kept until they are due.
     rig = ReducerRig()
     rig.request(CHECK, time_left=timedelta(hours=1))
     rig.pass_time(timedelta(milliseconds=1250))
@@ -403,7 +402,7 @@
     assert [a.status for a in rig.answers] == ([200] if rest_comes else [])
     if not rest_comes:
         rig.open_connections()
-        assert rig.last_attempt().connection_id != connection_id, "a stock-check is sent again"
+        assert rig.last_attempt().connection_id != connection_id, "a safe request is sent again"
 
 
 def test_a_counter_answer_that_stalls_frees_the_calls_behind_it() -> None:
@@ -440,7 +439,7 @@
 def test_a_list_connection_that_died_in_silence_is_replaced_within_two_seconds() -> None:
     rig = ReducerRig()
     first = rig.last_list_request()
-    assert first.wait <= timedelta(seconds=1), "an agent that lives has answered by then"
+    assert first.wait <= timedelta(seconds=1), "a working agent has answered by then"
     rig.pass_time(timedelta(milliseconds=1500))
     rig.open_connections()
     assert effects.CloseConnection(first.connection_id) in rig.effects
@@ -452,7 +451,7 @@
 
 @pytest.mark.parametrize("others_answer", [True, False])
 def test_a_counter_connection_that_is_silent_while_others_answer_is_replaced(others_answer: bool) -> None:
-    # Guards the accounts whose names share it: each of their calls would time out.
+    # Else each call of the accounts that use this connection would time out.
     rig = ReducerRig()
     rig.request(CHECK, account=42)
     dead = rig.last_counter_call()
