--- a/tests/test_cores_pure.py
+++ b/tests/test_cores_pure.py
@@ -393,9 +393,8 @@
         )
         is Disposition.REFUSE
     )
-    assert (
-        unowned_disposition(ConnectionRecord(True, 9, 0, False, 1)) is Disposition.REFUSE
-    )  # the first request ran, the ninth did not
+    # The first request was attempted, the ninth was not.
+    assert unowned_disposition(ConnectionRecord(True, 9, 0, False, 1)) is Disposition.REFUSE
 
 
 def test_late_record_of_one_request_hides_nothing_about_the_next() -> None:
