--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,7 @@
-"""Each guard of the rules is taken out in turn; the checks of test_rules.py must notice."""
+"""Mutation tests: each guard in brain.py is taken out in turn, and the checks of test_rules.py must notice.
+
+GUARDS: the guard's source text, its replacement, and a part of the assertion message that must appear.
+"""
 
 from __future__ import annotations
 
@@ -18,40 +21,42 @@
 GUARDS = {
     "drain": ("if v.entry.health is Health.READY}", "}", "drains"),
     "ban": ("listed_ready - self.banned.keys()", "listed_ready", "staff"),
-    "unsafe repeat": (KEYED + "\n            and self.now + self.settings.tick", "self.now", "unsafe"),
+    "unsafe repeat": (KEYED + "\n                and self.now + self.settings.tick", "self.now", "unsafe"),
     "window": ("< req.ran_at + req.cls.dedup_window", "< math.inf", "after the window"),
-    "group": ("ready = [k for k in ready if self.same_group(req, k)]", "pass", "sent again outside the"),
+    "group": (
+        "ready = [k for k in ready if self.same_dedup_scope(req, k)]",
+        "pass",
+        "sent again outside the",
+    ),
     "refusal": (KEYED + " and req.cls.dedup_scope is DedupScope.ALL", "True", "refused"),
     "ceiling": ("(not req.capped or account.headroom >= needed)", "True", "ceiling"),
     "patience": ("request.budget / 2 - s.tick", "1.0", "overdue"),
 }
 
 
-def fault(source: str) -> str:
-    """What the random worlds find wrong with a module; empty when nothing."""
+def find_violation(source: str) -> str:
+    """The message of the first rule that the module breaks in random worlds; empty if none."""
     module = types.ModuleType("brain_without_a_guard")
     exec(compile(source, "brain", "exec"), module.__dict__)  # noqa: S102
-    make: type[Gateway] = module.Gateway
+    make_gateway: type[Gateway] = module.Gateway
     for seed in range(12):
         for counter in ("silent", "emptied"):
             try:
-                for plan in (
-                    CEILING,
-                    interface.Plan(rate=50.0, burst=500.0),
-                ):  # the second lets nearly all through
+                # The second plan admits nearly all requests.
+                for plan in (CEILING, interface.Plan(rate=50.0, burst=500.0)):
                     config = settings(classes=CLASSES, plans=(plan,), gateways=2, max_attempts=4)
-                    World(seed, 2, counter, config, make).run(120)
+                    World(seed, 2, counter, config, make_gateway).run(120)
             except AssertionError as error:
                 return str(error)
     return ""
 
 
 def test_nothing_is_found_with_all_guards_in() -> None:
-    assert fault(SOURCE) == ""
+    assert find_violation(SOURCE) == ""
 
 
 @pytest.mark.parametrize("name", GUARDS)
 def test_a_missing_guard_is_found(name: str) -> None:
-    there, instead, says = GUARDS[name]
-    assert there in SOURCE
-    assert says in fault(SOURCE.replace(there, instead))
+    guard, replacement, message = GUARDS[name]
+    assert guard in SOURCE
+    assert message in find_violation(SOURCE.replace(guard, replacement))
