--- a/starlinggap/interface.py
+++ b/starlinggap/interface.py
@@ -5,8 +5,7 @@
 
 Conventions: times and durations are in seconds; points in time are read on the clock that all gateways share.
 Amounts are units of a quota. A field named after a thing (`request`, `server`, `zone`, `attempt`, `account`)
-holds its number; the caller chooses the numbers of requests, servers and accounts, and may use any that are
-unique.
+holds its number. The caller chooses the numbers of requests, servers (from 1) and accounts; each is unique.
 """
 
 from __future__ import annotations
