--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -117,8 +117,10 @@
                         async with asyncio.timeout(20):
                             while not kept.exists():
                                 await asyncio.sleep(0.02)
-                        told = bans.read(kept.read_bytes())
-                        assert told is not None and [(name, out) for name, out, _ in told] == [("s-1", True)]
+                        file_bans = bans.read(kept.read_bytes())
+                        assert file_bans is not None and [(name, out) for name, out, _ in file_bans] == [
+                            ("s-1", True)
+                        ]
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
@@ -136,8 +138,8 @@
             ):
                 assert b" 200 " in await ingress.ask("GET", "/stock-check")
                 assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")
-                told = bans.read((Path(scratch) / NAME).read_bytes())
-                assert told is not None and told[0][:2] == ("s-1", True)
+                file_bans = bans.read((Path(scratch) / NAME).read_bytes())
+                assert file_bans is not None and file_bans[0][:2] == ("s-1", True)
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
--- a/tests/test_races_attempts.py
+++ b/tests/test_races_attempts.py
@@ -60,7 +60,7 @@
 
 
 def attempts_received(running: Scene) -> int:
-    return sum(len(p.all_connections) for p in running.servers)
+    return sum(len(stand_in.all_connections) for stand_in in running.servers)
 
 
 def assert_nothing_left(running: Scene) -> None:
@@ -324,9 +324,9 @@
             assert (again, amount) == (name, 0.0), "the total is read again, and nothing is charged twice"
             new.send(total_response(2.0))
             reading = asyncio.create_task(read_calls(running, 1))  # of the last window
-            _, node = await first_connection_unless_read(running, reading)
-            await node.read_request()
-            node.send(ok_response(b"one"))
+            _, server_connection = await first_connection_unless_read(running, reading)
+            await server_connection.read_request()
+            server_connection.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
             assert_nothing_left(running)
             moved.close()
@@ -340,9 +340,9 @@
             answer = await running.send_request(place_request("one"))
             ((connection, name, _),) = await read_calls(running, 1)
             running.pass_time(100 * MS)  # past its timeout: the gateway decides without it
-            _, node = await first_connection(running)
-            await node.read_request()
-            node.send(ok_response(b"one"))
+            _, server_connection = await first_connection(running)
+            await server_connection.read_request()
+            server_connection.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
             running.exchange.reducer.gateway.call_share = 1.0  # as if the counter worked again
             other = await running.send_request(place_request("two"))
@@ -358,13 +358,15 @@
             if reading.done():
                 reading.result()[0][0].send(ok_response(b"0"))
             second = (
-                await asyncio.wait_for(node.read_request(), 20) if not running.state.idle_connections else b""
+                await asyncio.wait_for(server_connection.read_request(), 20)
+                if not running.state.idle_connections
+                else b""
             )
             if not second:
                 _, fresh = await first_connection(running)
-                second, node = await fresh.read_request(), fresh
+                second, server_connection = await fresh.read_request(), fresh
             assert b"two" in second
-            node.send(ok_response(b"two"))
+            server_connection.send(ok_response(b"two"))
             assert (await other).endswith(b"two")
             reading.cancel()
             assert_nothing_left(running)
--- a/tests/test_races_server_list.py
+++ b/tests/test_races_server_list.py
@@ -52,11 +52,11 @@
 
 async def assert_forwarded_to(running: Scene, server_number: int) -> None:
     """A new request is forwarded to this server and to no other."""
-    before = [len(p.all_connections) for p in running.servers]
+    before = [len(stand_in.all_connections) for stand_in in running.servers]
     answer = await running.send_request(place_request(f"new-{server_number}"))
     connection = await running.servers[server_number].next_connection()
     await connection.read_request()
-    after = [len(p.all_connections) for p in running.servers]
+    after = [len(stand_in.all_connections) for stand_in in running.servers]
     assert [n for n in range(len(before)) if after[n] > before[n]] == [server_number]
     connection.send(ok_response(b"done"))
     assert (await answer).endswith(b"done")
@@ -80,9 +80,9 @@
             received = len(ANSWER_BEGINNINGS[beginning])
             list_connection.send(ANSWER_BEGINNINGS[beginning])
             if received:
-                line = running.exchange.lines[running.state.list_connection_id]
+                protocol = running.exchange.lines[running.state.list_connection_id]
                 await wait_until(
-                    lambda: len(line.heard) >= received or line.halting or beginning == "only 1xx"
+                    lambda: len(protocol.heard) >= received or protocol.halting or beginning == "only 1xx"
                 )
             running.pass_time(timedelta(seconds=wait) + 500 * MS)
             running.pass_time(150 * MS)
@@ -101,14 +101,14 @@
         async with scene() as running:
             list_connection, _ = await next_list_request(running)
             list_connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-            line = running.exchange.lines[running.state.list_connection_id]
+            protocol = running.exchange.lines[running.state.list_connection_id]
             for n in range(1, 30):
-                if running.state.list_connection_id != line.number or line.over:
+                if running.state.list_connection_id != protocol.number or protocol.over:
                     break
                 list_connection.send(b" ")
-                await wait_for_drips(line, n)
+                await wait_for_drips(protocol, n)
                 running.pass_time(60 * MS)
-            assert line.over and n < 25
+            assert protocol.over and n < 25
             await next_list_request(running)
 
     run_scene(scenario)
@@ -153,8 +153,8 @@
             list_connection.send(
                 b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body)
             )
-            line = running.state.connections[running.state.list_connection_id]
-            await wait_until(lambda: line.since is None)
+            connection = running.state.connections[running.state.list_connection_id]
+            await wait_until(lambda: connection.since is None)
             assert len(running.server_list.all_connections) == 1
             running.pass_time(150 * MS)
             assert await read_list_request(
@@ -270,8 +270,8 @@
             if state == "half a list":
                 body = json.dumps({"seq": 8, "whole": True, "hosts": [running.list_entry(0)]}).encode()
                 list_connection.send(ok_response(body)[:-5])
-                line = running.exchange.lines[running.state.list_connection_id]
-                await wait_until(lambda: line.heard)
+                protocol = running.exchange.lines[running.state.list_connection_id]
+                await wait_until(lambda: protocol.heard)
             elif state == "down":
                 assert running.server_list.server is not None
                 running.server_list.server.close()
--- a/tests/test_races_upstream.py
+++ b/tests/test_races_upstream.py
@@ -86,7 +86,7 @@
             await wait_until(lambda: running.state.attempts)
             ((_, attempt),) = running.state.attempts.items()
             server = running.state.servers[attempt.server_id]
-            number = [p.address for p in running.servers].index(server.address)
+            number = [stand_in.address for stand_in in running.servers].index(server.address)
             if change == "banned":
                 running.exchange.report(BanChangeRequested(1, f"s-{number}", server.entry.server, True))
             else:
@@ -104,7 +104,7 @@
             else:  # the new process is listed and may be chosen
                 _, connection = await first_connection(running)
             await connection.read_request()
-            assert sum(len(p.all_connections) for p in running.servers) == 1, (
+            assert sum(len(stand_in.all_connections) for stand_in in running.servers) == 1, (
                 "the first connection was given up"
             )
             connection.send(ok_response(b"one"))
@@ -207,7 +207,10 @@
             await connection.read_request()
             connection.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
-            assert sum(len(p.all_connections) for p in running.servers) == 1 and not running.exchange.dials
+            assert (
+                sum(len(stand_in.all_connections) for stand_in in running.servers) == 1
+                and not running.exchange.dials
+            )
 
     run_scene(scenario)
 
