--- a/opalgauge/memory/effects.py
+++ b/opalgauge/memory/effects.py
@@ -74,7 +74,7 @@
 
     connection_id: int
     http_request: HttpRequest
-    time_left: timedelta  # that the server is told it has
+    time_left: timedelta  # sent to the server as the time that it has
     request_id: int = 0
 
 
@@ -115,7 +115,7 @@
     retry_after: timedelta | None = None
     close_connection: bool = False  # the client's connection ends with this answer
     stream_connection_id: int = 0  # the body is streamed from this server connection; 0: it is `body`
-    length: int | None = None  # bytes of a streamed body, where the server has told
+    length: int | None = None  # bytes of a streamed body, if the server states it
     reason: Reason = reason_field()
 
 
@@ -259,7 +259,7 @@
 
 @dataclass(slots=True)
 class Exit:
-    """End the process: nothing is owed to anybody any more, or SIGKILL is near."""
+    """End the process: no request or stream is open any more, or SIGKILL is near."""
 
 
 @dataclass(slots=True)
--- a/opalgauge/memory/events.py
+++ b/opalgauge/memory/events.py
@@ -4,7 +4,8 @@
 had come, and that alone decides whether the request may have run.
 
 Connections to servers, to the quota counter and to the discovery agent are named by `connection_id`, which
-the reducer chose in the effect `OpenConnection`; clients' connections by `client_id`, which the wire chose.
+the reducer chose in the effect `OpenConnection`; clients' connections by `client_id`, which `opalgauge.wire`
+chose.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes  # complete, or its beginning with `has_more_body`
     has_more_body: bool = False  # the rest is streamed from the client to the server
-    body_length: int | None = None  # bytes of such a body, where the client has told
+    body_length: int | None = None  # bytes of such a body, if the client states it
 
 
 @dataclass(slots=True)
@@ -201,7 +202,7 @@
 
     connection_id: int
     content_type: str
-    length: int | None  # bytes of its body, where the server has told
+    length: int | None  # bytes of its body, if the server states it
     load: dict[str, float]
     true_units: float | None = None
 
@@ -262,7 +263,7 @@
     version: int = 0
     list_kind: ListKind = ListKind.FAILED
     servers: tuple[ListedServer, ...] | None = None  # None: the answer could not be read
-    refused: bool = False  # it cannot tell now; the list that it told before stays valid
+    refused: bool = False  # it has no list for us now; the last one stays valid
 
 
 @dataclass(slots=True)
--- a/opalgauge/memory/state.py
+++ b/opalgauge/memory/state.py
@@ -64,7 +64,7 @@
     list_max_pause: timedelta = timedelta(seconds=2)  # after a refusal
     # Where the list must be asked for: the time in which the agent can answer all ingresses once.
     list_fleet_turn: timedelta = timedelta(0)
-    gateway_margin: timedelta = timedelta(milliseconds=25)  # the gateway is told so much less time
+    gateway_margin: timedelta = timedelta(milliseconds=25)  # the gateway gets so much less time
     wake_up_slack: timedelta = timedelta(milliseconds=3)  # a timer may be due so long before its wake-up
     fallback_margin: timedelta = timedelta(milliseconds=10)  # the reducer answers by itself so early
 
@@ -205,7 +205,7 @@
     server_connection_count: int = 0
     list_version: int | None = None  # None: the complete list is asked for next
     list_connection_id: int = 0
-    list_reachable: bool = True  # the discovery agent answers; told in the log when it changes
+    list_reachable: bool = True  # the discovery agent answers; a change is logged
     list_refusals: int = 0  # one after another
     last_connection_id: int = 0
     process_count: int = 1  # of this ingress that are running
