--- a/tests/test_races_server_list.py
+++ b/tests/test_races_server_list.py
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize(
-    ("version", "is_complete", "accepted", "since"),
+    ("seq", "is_complete", "accepted", "since"),
     [
         (7, False, True, "since=7&"),  # the same version again
         (900, False, True, "since=900&"),  # versions may be left out
@@ -190,7 +190,7 @@
     ],
 )
 def test_list_versions_that_repeat_jump_or_go_back(
-    version: int, is_complete: bool, accepted: bool, since: str | None
+    seq: int, is_complete: bool, accepted: bool, since: str | None
 ) -> None:
     async def scenario() -> None:
         async with scene(server_count=2) as running:
@@ -198,7 +198,7 @@
             running.pass_time(200 * MS)
             answer_list(
                 list_connection,
-                version,
+                seq,
                 running.list_entry(0, "terminating"),
                 running.list_entry(1),
                 is_complete=is_complete,
