--- a/opalgauge/__main__.py
+++ b/opalgauge/__main__.py
@@ -2,12 +2,12 @@
 
 import sys
 
-from opalgauge.lifecycle.imports import lean
-from opalgauge.lifecycle.native import prefer
+from opalgauge.lifecycle.imports import fast_imports
+from opalgauge.lifecycle.native import use_compiled_modules
 
 if __name__ == "__main__":
-    prefer()
-    with lean():
+    use_compiled_modules()
+    with fast_imports():
         from opalgauge.lifecycle.service import main
 
     sys.exit(main())
--- a/opalgauge/cli/bench.py
+++ b/opalgauge/cli/bench.py
@@ -14,23 +14,25 @@
     """Measure the ingress against stand-ins on this machine's loopback."""
 
 
-def _numbers(_: click.Context, __: click.Parameter, text: str) -> list[int]:
+def _parse_core_counts(_: click.Context, __: click.Parameter, text: str) -> list[int]:
     try:
-        found = [int(word) for word in text.split(",")]
+        counts = [int(word) for word in text.split(",")]
     except ValueError:
         raise click.BadParameter("whole numbers with commas between them, such as 1,2,4") from None
-    if not found or any(n < 1 or n > 64 for n in found):
+    if not counts or any(n < 1 or n > 64 for n in counts):
         raise click.BadParameter("core counts go from 1 to 64")
-    return found
+    return counts
 
 
-def write_json(path: Path | None, told: dict[str, Any]) -> None:
+def write_json(path: Path | None, figures: dict[str, Any]) -> None:
     if path is not None:
-        path.write_text(json.dumps(told, indent=1) + "\n")
+        path.write_text(json.dumps(figures, indent=1) + "\n")
 
 
 @command.command("cores")
-@click.option("--cores", default="1,2,4,8", callback=_numbers, help="Core counts.", show_default=True)
+@click.option(
+    "--cores", default="1,2,4,8", callback=_parse_core_counts, help="Core counts.", show_default=True
+)
 @click.option("--seconds", default=8.0, type=click.FloatRange(1, 600), help="Each load.", show_default=True)
 @click.option("--json", "path", type=click.Path(path_type=Path, dir_okay=False), help="All figures.")
 @click.option(
@@ -49,9 +51,9 @@
 @click.option("--json", "path", type=click.Path(path_type=Path, dir_okay=False), help="All figures.")
 def request(rounds: int, seconds: float, path: Path | None) -> None:
     """What one request costs on one core, by part and as a whole."""
-    from opalgauge.lifecycle.native import prefer
+    from opalgauge.lifecycle.native import use_compiled_modules
 
-    if prefer():
+    if use_compiled_modules():
         click.echo("with the compiled modules")
     from opalgauge.lab.bench_request import bench
 
--- a/opalgauge/cli/check.py
+++ b/opalgauge/cli/check.py
@@ -12,19 +12,19 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def command(file: Path) -> None:
     """Check FILE as a whole and print what would hold; exit status 1 if there are mistakes, all told."""
-    from opalgauge.lifecycle import settings
+    from opalgauge.lifecycle import settings_file
     from opalgauge.lifecycle.config import ConfigError
     from opalgauge.lifecycle.sources import FileSource
 
     try:
-        parsed = settings.parse(file)
+        parsed = settings_file.parse(file)
         FileSource(str(file)).read()
-    except settings.SettingsFileError as bad:
-        for mistake in bad.mistakes:
-            click.echo(mistake, err=True)
+    except settings_file.SettingsFileError as error:
+        for message in error.errors:
+            click.echo(message, err=True)
         sys.exit(1)
-    except ConfigError as other:
-        click.echo(f"{file}: {other}", err=True)
+    except ConfigError as config_error:
+        click.echo(f"{file}: {config_error}", err=True)
         sys.exit(1)
-    for line in settings.shown(parsed):
+    for line in settings_file.effective_lines(parsed):
         click.echo(line)
--- a/opalgauge/cli/main.py
+++ b/opalgauge/cli/main.py
@@ -16,7 +16,7 @@
 }
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """Loads a sub-command's module when it is used, so that `serve` loads no more than serving needs."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -30,7 +30,7 @@
         return command
 
 
-@click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="opalgauge")
 def cli() -> None:
     """The shared-quota ingress: serve it, check its settings, measure it."""
--- a/opalgauge/cli/serve.py
+++ b/opalgauge/cli/serve.py
@@ -11,11 +11,11 @@
 @click.option("--settings", type=click.Path(dir_okay=False), help="Our file; without it, BALANCER_CONFIG.")
 def command(settings: str | None) -> None:
     """Serve until SIGTERM; SIGHUP reads the settings again. Exit status 2: the start cannot work."""
-    from opalgauge.lifecycle.imports import lean
-    from opalgauge.lifecycle.native import prefer
+    from opalgauge.lifecycle.imports import fast_imports
+    from opalgauge.lifecycle.native import use_compiled_modules
 
-    prefer()
-    with lean():
+    use_compiled_modules()
+    with fast_imports():
         from opalgauge.lifecycle.service import main
         from opalgauge.lifecycle.sources import FileSource
 
--- a/opalgauge/cli/stand_ins.py
+++ b/opalgauge/cli/stand_ins.py
@@ -11,40 +11,47 @@
 
 import click
 
-LOOPBACK = ("127.", "localhost:", "[::1]:")
+LOOPBACK_PREFIXES = ("127.", "localhost:", "[::1]:")
 
 
-def request_line(told: dict[str, Any]) -> str:
+def example_command(platform_config: dict[str, Any]) -> str:
     """A request that the ingress of these settings takes, as a command for a shell."""
-    told_settings = told["settings"]
-    kind, tariff = told_settings["classes"][0], told_settings["tiers_of_service"][0]["name"]
-    post = "" if kind.get("effect") == "retryable" else "-X POST "
+    platform_settings = platform_config["settings"]
+    request_class, plan = platform_settings["classes"][0], platform_settings["tiers_of_service"][0]["name"]
+    method = "" if request_class.get("effect") == "retryable" else "-X POST "
     headers = (
-        f"X-Tier: {tariff}", "Cookie: customer=7", "X-Time-Left: 1.0",
-        "X-Call-Terms: units=1,spread=1,first=0", "X-Correlation-Id: try-1",
-    )  # fmt: skip
-    words = " ".join(f"-H '{header}'" for header in headers)
-    return f"curl -i {post}{words} http://{told['listen']}/{kind['name']}"
+        f"X-Tier: {plan}",
+        "Cookie: customer=7",
+        "X-Time-Left: 1.0",
+        "X-Call-Terms: units=1,spread=1,first=0",
+        "X-Correlation-Id: try-1",
+    )
+    header_options = " ".join(f"-H '{header}'" for header in headers)
+    return f"curl -i {method}{header_options} http://{platform_config['listen']}/{request_class['name']}"
 
 
-async def run(counter: str, nodes: list[str], delay: float) -> None:
+async def run(counter_address: str, server_addresses: list[str], delay: float) -> None:
     from opalgauge.lab.stand_ins import HttpConnection, StandInCounter, StandInServers
 
     loop = asyncio.get_running_loop()
-    total, work = StandInCounter(), StandInServers(delay)
-    over = asyncio.Event()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, over.set)
-    servers = []
-    for address in (counter, *nodes):
+    counter_stand_in, servers_stand_in = StandInCounter(), StandInServers(delay)
+    stopped = asyncio.Event()
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, stopped.set)
+    listeners = []
+    for address in (counter_address, *server_addresses):
         host, _, port = address.rpartition(":")
-        take = total.handle if address == counter else work.handle
-        servers.append(await loop.create_server(partial(HttpConnection, take), host.strip("[]"), int(port)))
-    click.echo(f"up: a quota counter at {counter}, {len(nodes)} stock nodes; SIGINT ends them")
-    await over.wait()
-    for server in servers:
+        handle = counter_stand_in.handle if address == counter_address else servers_stand_in.handle
+        listeners.append(
+            await loop.create_server(partial(HttpConnection, handle), host.strip("[]"), int(port))
+        )
+    click.echo(
+        f"up: a quota counter at {counter_address}, {len(server_addresses)} stock nodes; SIGINT ends them"
+    )
+    await stopped.wait()
+    for server in listeners:
         server.close()
-    click.echo(f"seen: {work.requests} requests, {total.calls} calls of the counter")
+    click.echo(f"seen: {servers_stand_in.requests} requests, {counter_stand_in.calls} calls of the counter")
 
 
 @click.command("stand-ins")
@@ -60,13 +67,20 @@
 
     try:
         reading = FileSource(str(file)).read()
-        house = make_config(reading.told, reading.environ).house
-        counter, nodes = house.counter_address, [node.address for node in house.known_servers]
-        away = [where for where in (counter, *nodes) if not where.startswith(LOOPBACK)]
-        if away or not nodes:
-            raise ConfigError(f"{file}: not on loopback: {', '.join(away) or 'no stock node'}")
-        click.echo(request_line(reading.told))
-        asyncio.run(run(counter, nodes, delay))
-    except (ConfigError, OSError) as bad:
-        click.echo(f"cannot start: {bad}", err=True)
+        ingress = make_config(reading.platform_config, reading.environ).ingress
+        counter_address, server_addresses = (
+            ingress.counter_address,
+            [server.address for server in ingress.known_servers],
+        )
+        not_loopback = [
+            address
+            for address in (counter_address, *server_addresses)
+            if not address.startswith(LOOPBACK_PREFIXES)
+        ]
+        if not_loopback or not server_addresses:
+            raise ConfigError(f"{file}: not on loopback: {', '.join(not_loopback) or 'no stock node'}")
+        click.echo(example_command(reading.platform_config))
+        asyncio.run(run(counter_address, server_addresses, delay))
+    except (ConfigError, OSError) as error:
+        click.echo(f"cannot start: {error}", err=True)
         sys.exit(2)
--- a/opalgauge/console/ban_file.py
+++ b/opalgauge/console/ban_file.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from opalgauge.console import bans
+from opalgauge.console import ban_record
 from opalgauge.memory.effects import PersistBans
 from opalgauge.memory.events import BansReceived, BanStatus, Event
 from opalgauge.wire.node_list import node_number
 
-NAME, LOCK, NEW = "opalgauge.marks", "opalgauge.marks.lock", "opalgauge.marks.new"
+FILE_NAME, LOCK_NAME, TEMP_NAME = "opalgauge.marks", "opalgauge.marks.lock", "opalgauge.marks.new"
 
 
 class BanFile:
@@ -21,78 +21,78 @@
 
     def __init__(self, folder: str, log: Callable[[str], None]) -> None:
         self.folder, self.log = Path(folder), log
-        self.seen: tuple[int, int] | None = None  # the file as it was last read
-        self.told = False
-        self.owed: tuple[BanStatus, ...] = ()  # not written yet
+        self.last_seen: tuple[int, int] | None = None  # the file as it was last read
+        self.failure_logged = False
+        self.unsaved: tuple[BanStatus, ...] = ()  # not written yet
 
     @contextlib.contextmanager
-    def _alone(self) -> Iterator[None]:
+    def _locked(self) -> Iterator[None]:
         """Guards what the other process has just said against being written over unread.
 
         Raises BlockingIOError where the other one has the file now: it may have been stopped, and this one
         must not stand still with it.
         """
-        with open(self.folder / LOCK, "wb") as held:
-            fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        with open(self.folder / LOCK_NAME, "wb") as lock_file:
+            fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             yield
 
     def _read(self) -> tuple[BanStatus, ...]:
         """What lies there; nothing where it is missing or no whole record."""
         try:
-            with open(self.folder / NAME, "rb") as file:
-                told = bans.read(file.read(bans.MOST + 1))
+            with open(self.folder / FILE_NAME, "rb") as file:
+                entries = ban_record.decode(file.read(ban_record.MAX_RECORD_SIZE + 1))
         except FileNotFoundError:
             return ()
-        if told is None:
-            self._complain("what is kept of them is no whole record, and is left")
+        if entries is None:
+            self._log_failure("what is kept of them is no whole record, and is left")
             return ()
-        return tuple(BanStatus(name, node_number(name), out, at) for name, out, at in told)
+        return tuple(BanStatus(name, node_number(name), banned, at) for name, banned, at in entries)
 
-    def _complain(self, why: str) -> None:
-        if not self.told:
-            self.told = True
-            self.log(f"maint: {why}")
+    def _log_failure(self, reason: str) -> None:
+        if not self.failure_logged:
+            self.failure_logged = True
+            self.log(f"maint: {reason}")
 
-    def keep(self, effect: PersistBans) -> None:
+    def save(self, effect: PersistBans) -> None:
         """Whole or not at all: the new file takes the old one's place only when it is written."""
-        self.owed = bans.merge(self.owed, effect.bans)
+        self.unsaved = ban_record.merge(self.unsaved, effect.bans)
         self._write()
 
     def _write(self) -> None:
         try:
-            with self._alone():
-                record = bans.write(bans.merge(self._read(), self.owed))
+            with self._locked():
+                record = ban_record.encode(ban_record.merge(self._read(), self.unsaved))
                 # One name: only who has the lock writes it, and a process that was killed leaves one at most.
-                new = self.folder / NEW
-                new.write_bytes(record)
-                os.replace(new, self.folder / NAME)
+                temp_file = self.folder / TEMP_NAME
+                temp_file.write_bytes(record)
+                os.replace(temp_file, self.folder / FILE_NAME)
         except BlockingIOError:
             return
-        except OSError as bad:
-            self._complain(f"cannot be kept over a new process: {bad}; tried again")
+        except OSError as error:
+            self._log_failure(f"cannot be kept over a new process: {error}; tried again")
             return
-        self.owed = ()
-        if self.told:
-            self.told = False
+        self.unsaved = ()
+        if self.failure_logged:
+            self.failure_logged = False
             self.log("maint: kept again")
 
-    def look(self, report: Callable[[Event], None]) -> None:
+    def poll(self, report: Callable[[Event], None]) -> None:
         """Writes what is owed, and reports what lies there if the file is another than at the last look."""
-        if self.owed:
+        if self.unsaved:
             self._write()
         try:
-            found = os.stat(self.folder / NAME)
+            status = os.stat(self.folder / FILE_NAME)
         except OSError:
             return
-        seen = (found.st_ino, found.st_mtime_ns)
-        if seen == self.seen:
+        identity = (status.st_ino, status.st_mtime_ns)
+        if identity == self.last_seen:
             return
-        self.seen = seen
+        self.last_seen = identity
         try:
-            marks = self._read()
-        except OSError as bad:
-            self.seen = None  # it is read at the next look
-            self._complain(f"cannot be read: {bad}")
+            bans = self._read()
+        except OSError as error:
+            self.last_seen = None  # it is read at the next look
+            self._log_failure(f"cannot be read: {error}")
             return
-        if marks:
-            report(BansReceived(marks))
+        if bans:
+            report(BansReceived(bans))
--- a/opalgauge/console/bans.py
+++ b/opalgauge/console/ban_record.py
@@ -14,40 +14,40 @@
 
 TITLE = "opalgauge-marks-1"
 EPOCH = datetime.fromtimestamp(0, UTC)
-MOST = 1 << 20  # bytes of a record
+MAX_RECORD_SIZE = 1 << 20  # bytes of a record
 
 
-def write(marks: Iterable[BanStatus]) -> bytes:
+def encode(bans: Iterable[BanStatus]) -> bytes:
     body = "".join(
-        f"{'out' if m.banned else 'in'} {(m.at - EPOCH) // timedelta(microseconds=1)} {m.name}\n"
-        for m in marks
+        f"{'out' if ban.banned else 'in'} {(ban.at - EPOCH) // timedelta(microseconds=1)} {ban.name}\n"
+        for ban in bans
     ).encode("ascii")
     return f"{TITLE} {len(body)} {hashlib.sha256(body).hexdigest()}\n".encode() + body
 
 
-def read(record: bytes) -> tuple[tuple[str, bool, datetime], ...] | None:
+def decode(record: bytes) -> tuple[tuple[str, bool, datetime], ...] | None:
     """Names with what was said and when; None where the record is torn, foreign or too long."""
     head, _, body = record.partition(b"\n")
     try:
         title, length, digest = head.decode("ascii").split(" ")
-        if title != TITLE or len(record) > MOST or int(length) != len(body):
+        if title != TITLE or len(record) > MAX_RECORD_SIZE or int(length) != len(body):
             return None
         if hashlib.sha256(body).hexdigest() != digest:
             return None
-        told = []
+        entries = []
         for line in body.decode("ascii").splitlines():
             word, at, name = line.split(" ")
-            told.append((name, word == "out", EPOCH + timedelta(microseconds=int(at))))
-        return tuple(told)
+            entries.append((name, word == "out", EPOCH + timedelta(microseconds=int(at))))
+        return tuple(entries)
     except (ValueError, OverflowError):
         return None
 
 
-def merge(one: Iterable[BanStatus], other: Iterable[BanStatus]) -> tuple[BanStatus, ...]:
+def merge(first: Iterable[BanStatus], second: Iterable[BanStatus]) -> tuple[BanStatus, ...]:
     """Of each stock node what was said last; of two things said at once, that it is out."""
     newest: dict[int, BanStatus] = {}
-    for mark in (*one, *other):
-        known = newest.get(mark.server_id)
-        if known is None or (known.at, known.banned) < (mark.at, mark.banned):
-            newest[mark.server_id] = mark
+    for ban in (*first, *second):
+        known = newest.get(ban.server_id)
+        if known is None or (known.at, known.banned) < (ban.at, ban.banned):
+            newest[ban.server_id] = ban
     return tuple(newest.values())
--- a/opalgauge/console/commands.py
+++ b/opalgauge/console/commands.py
@@ -8,8 +8,8 @@
 
 from opalgauge.memory.state import StatusReport
 
-MOST_LINE = 512  # bytes of a call, its line end included
-ID = re.compile(r"[!-~]{1,128}")  # visible ASCII
+MAX_LINE = 512  # bytes of a call, its line end included
+SERVER_ID = re.compile(r"[!-~]{1,128}")  # visible ASCII
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,29 +28,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Maint:
+class ChangeBan:
     """A stock node out of use, or back."""
 
-    name: str
-    out: bool
+    server_name: str
+    banned: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Wrong:
+class InvalidCommand:
     """No call; `why` is what the caller is told."""
 
-    why: str
+    reason: str
 
 
-Call = Status | Stats | Record | Maint | Wrong
+Command = Status | Stats | Record | ChangeBan | InvalidCommand
 
 
-def understand(line: bytes) -> Call:
+def parse(line: bytes) -> Command:
     """A call's line, with or without its end. Never raises."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
-        return Wrong("not plain text")
+        return InvalidCommand("not plain text")
     match words:
         case ["status"]:
             return Status()
@@ -58,39 +58,47 @@
             return Stats()
         case ["record"]:
             return Record()
-        case ["maint-on" | "maint-off" as word, name] if ID.fullmatch(name):
-            return Maint(name, word == "maint-on")
+        case ["maint-on" | "maint-off" as word, name] if SERVER_ID.fullmatch(name):
+            return ChangeBan(name, word == "maint-on")
         case []:
-            return Wrong("no call")
+            return InvalidCommand("no call")
         case ["status" | "stats" | "record" as word, *_]:
-            return Wrong(f"{word} takes no argument")
+            return InvalidCommand(f"{word} takes no argument")
         case ["maint-on" | "maint-off" as word, *_]:
-            return Wrong(f"{word} takes one stock node's ID")
+            return InvalidCommand(f"{word} takes one stock node's ID")
         case _:
-            return Wrong("unknown call; known are status, stats, record, maint-on ID, maint-off ID")
+            return InvalidCommand("unknown call; known are status, stats, record, maint-on ID, maint-off ID")
 
 
-def answer(yes: bool, text: str) -> bytes:
+def format_answer(success: bool, text: str) -> bytes:
     """One line that begins with 200 or 400."""
-    return f"{200 if yes else 400} {text}\n".encode("ascii", "replace")
+    return f"{200 if success else 400} {text}\n".encode("ascii", "replace")
 
 
-def record(lines: Sequence[str]) -> bytes:
+def format_record(lines: Sequence[str]) -> bytes:
     """A line that begins with 200, a line an entry, and the line EOF."""
     return "\n".join(["200 record", *lines, "EOF\n"]).encode("ascii", "replace")
 
 
-def figures(told: StatusReport, kinds: Sequence[str], more: Sequence[str] = ()) -> bytes:
+def format_statistics(
+    report: StatusReport, class_names: Sequence[str], extra_lines: Sequence[str] = ()
+) -> bytes:
     """A line that begins with 200, a line a figure, `more` of them, and the line EOF."""
     lines = ["200 figures"]
-    for name, counts in (("passed", told.served), ("dropped", told.refused), ("bad_gateway", told.failed)):
-        lines += [f"{name}.{kind}={count}" for kind, count in zip(kinds, counts, strict=True)]
+    for name, counts in (
+        ("passed", report.served),
+        ("dropped", report.refused),
+        ("bad_gateway", report.failed),
+    ):
+        lines += [
+            f"{name}.{class_name}={count}" for class_name, count in zip(class_names, counts, strict=True)
+        ]
     lines += [
-        f"upstream_tries={told.attempts}",
-        f"in_progress={told.in_progress}",
-        f"known_backends={told.known_servers}",
-        f"skipped_backends={told.avoided_servers}",
-        *more,
+        f"upstream_tries={report.attempts}",
+        f"in_progress={report.in_progress}",
+        f"known_backends={report.known_servers}",
+        f"skipped_backends={report.avoided_servers}",
+        *extra_lines,
         "EOF\n",
     ]
     return "\n".join(lines).encode("ascii", "replace")
--- a/opalgauge/console/endpoint.py
+++ b/opalgauge/console/endpoint.py
@@ -16,52 +16,54 @@
 from opalgauge.wire.node_list import node_number
 
 BACKLOG = 64  # callers that wait to be accepted
-MOST_CALLERS = 12  # at once: the oldest silent one makes room for one more
-SILENT = timedelta(seconds=10)  # a call is whole by then, or its caller goes
-DRAIN = timedelta(seconds=1)  # so long what is written behind a call is read and dropped
+MAX_CONNECTIONS = 12  # at once: the oldest silent one makes room for one more
+COMMAND_TIMEOUT = timedelta(seconds=10)  # a call is whole by then, or its caller goes
+LINGER_TIMEOUT = timedelta(seconds=1)  # so long what is written behind a call is read and dropped
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection: a line in, an answer out, the end."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
-        self.endpoint, self.number, self.line = endpoint, 0, b""
+        self.endpoint, self.call_id, self.received = endpoint, 0, b""
         self.transport: asyncio.Transport | None = None
-        self.asked = False
+        self.command_received = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.endpoint.came(self)
+        self.endpoint.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.asked:
+        if self.command_received:
             return
-        self.line += data[: commands.MOST_LINE + 1]
-        line, end, _ = self.line.partition(b"\n")
-        if end or len(line) > commands.MOST_LINE:
-            self.asked = True
-            told = commands.understand(line) if end else commands.Wrong("a line too long")
-            self.endpoint.called(self, told)
+        self.received += data[: commands.MAX_LINE + 1]
+        line, end, _ = self.received.partition(b"\n")
+        if end or len(line) > commands.MAX_LINE:
+            self.command_received = True
+            command = commands.parse(line) if end else commands.InvalidCommand("a line too long")
+            self.endpoint.on_command(self, command)
 
     def eof_received(self) -> bool:
-        if not self.asked:
+        if not self.command_received:
             # A caller may end its sending in place of its line.
-            self.asked = True
-            self.endpoint.called(self, commands.understand(self.line))
+            self.command_received = True
+            self.endpoint.on_command(self, commands.parse(self.received))
         return True  # it may still read
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        self.endpoint.went(self)
+        self.endpoint.on_disconnected(self)
 
-    def answer(self, text: bytes) -> None:
+    def send(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(text)
-            if len(self.line) <= commands.MOST_LINE:
+            self.transport.write(data)
+            if len(self.received) <= commands.MAX_LINE:
                 self.transport.close()
                 return
             # Guards the answer against the reset that a close sends where the caller is still writing.
             self.transport.write_eof()
-            asyncio.get_running_loop().call_later(DRAIN.total_seconds(), self.endpoint._silent, self)
+            asyncio.get_running_loop().call_later(
+                LINGER_TIMEOUT.total_seconds(), self.endpoint._on_timeout, self
+            )
 
 
 class AdminEndpoint:
@@ -69,78 +71,85 @@
 
     def __init__(
         self,
-        kinds: Sequence[str],
-        figures: Callable[[], StatusReport],
+        class_names: Sequence[str],
+        status_report: Callable[[], StatusReport],
         report: Callable[[Event], None],
-        refusal: Callable[[], str],
-        more: Callable[[], list[str]] | None = None,
-        record: Callable[[], list[str]] = list,
+        not_ready_reason: Callable[[], str],
+        extra_lines: Callable[[], list[str]] | None = None,
+        record_lines: Callable[[], list[str]] = list,
     ) -> None:
-        self.more, self.record = more or list, record
-        self.kinds, self.figures, self.report, self.refusal = kinds, figures, report, refusal
-        self.callers: dict[int, Caller] = {}  # the oldest first
-        self.number = 0
+        self.extra_lines, self.record_lines = extra_lines or list, record_lines
+        self.class_names, self.status_report, self.report, self.not_ready_reason = (
+            class_names,
+            status_report,
+            report,
+            not_ready_reason,
+        )
+        self.connections: dict[int, AdminConnection] = {}  # the oldest first
+        self.last_call_id = 0
         self.listener: Listener | None = None
 
     async def listen(self, host: str, port: int) -> None:
         """Raises OSError where the address cannot be had."""
-        self.listener = Listener(bind(host, port), BACKLOG, lambda _: Caller(self))
+        self.listener = Listener(bind(host, port), BACKLOG, lambda _: AdminConnection(self))
 
     def close(self) -> None:
         if self.listener is not None:
             self.listener.close()
 
-    def came(self, caller: Caller) -> None:
-        self.number += 1
-        caller.number = self.number
-        if len(self.callers) >= MOST_CALLERS:
+    def on_connected(self, connection: AdminConnection) -> None:
+        self.last_call_id += 1
+        connection.call_id = self.last_call_id
+        if len(self.connections) >= MAX_CONNECTIONS:
             # Guards the descriptors, and callers that have something to say, against those that have not.
-            self._drop(next((c for c in self.callers.values() if not c.asked), None))
-        self.callers[caller.number] = caller
-        asyncio.get_running_loop().call_later(SILENT.total_seconds(), self._silent, caller)
+            self._abort(next((c for c in self.connections.values() if not c.command_received), None))
+        self.connections[connection.call_id] = connection
+        asyncio.get_running_loop().call_later(COMMAND_TIMEOUT.total_seconds(), self._on_timeout, connection)
 
-    def went(self, caller: Caller) -> None:
-        self.callers.pop(caller.number, None)
+    def on_disconnected(self, connection: AdminConnection) -> None:
+        self.connections.pop(connection.call_id, None)
 
-    def _drop(self, caller: Caller | None) -> None:
-        if caller is not None and caller.transport is not None:
-            self.callers.pop(caller.number, None)
-            caller.transport.abort()
+    def _abort(self, connection: AdminConnection | None) -> None:
+        if connection is not None and connection.transport is not None:
+            self.connections.pop(connection.call_id, None)
+            connection.transport.abort()
 
-    def _silent(self, caller: Caller) -> None:
+    def _on_timeout(self, connection: AdminConnection) -> None:
         # Guards against callers that stay without a call, or do not read their answer.
-        if caller.number in self.callers:
-            self._drop(caller)
+        if connection.call_id in self.connections:
+            self._abort(connection)
 
-    def called(self, caller: Caller, call: commands.Call) -> None:
-        match call:
+    def on_command(self, connection: AdminConnection, command: commands.Command) -> None:
+        match command:
             case commands.Status():
-                refusal = self.refusal()
-                caller.answer(commands.answer(not refusal, refusal or "serving"))
+                not_ready_reason = self.not_ready_reason()
+                connection.send(commands.format_answer(not not_ready_reason, not_ready_reason or "serving"))
             case commands.Stats():
-                caller.answer(commands.figures(self.figures(), self.kinds, self.more()))
+                connection.send(
+                    commands.format_statistics(self.status_report(), self.class_names, self.extra_lines())
+                )
             case commands.Record():
-                caller.answer(commands.record(self.record()))
-            case commands.Maint(name, out):
-                self.report(BanChangeRequested(caller.number, name, node_number(name), out))
-            case commands.Wrong(why):
-                caller.answer(commands.answer(False, why))
+                connection.send(commands.format_record(self.record_lines()))
+            case commands.ChangeBan(name, banned):
+                self.report(BanChangeRequested(connection.call_id, name, node_number(name), banned))
+            case commands.InvalidCommand(reason):
+                connection.send(commands.format_answer(False, reason))
 
-    def answered(self, effect: AnswerStaff) -> None:
+    def on_answer(self, effect: AnswerStaff) -> None:
         """Carries out the reducer's answer; a caller that has left is owed none."""
-        if caller := self.callers.get(effect.call_id):
-            caller.answer(commands.answer(effect.accepted, effect.text))
+        if connection := self.connections.get(effect.call_id):
+            connection.send(commands.format_answer(effect.accepted, effect.text))
 
 
 @contextlib.asynccontextmanager
-async def admin_endpoint(address: tuple[str, int] | None, **more: Any) -> Any:
+async def open_admin_endpoint(address: tuple[str, int] | None, **options: Any) -> Any:
     """An open endpoint, or none where no address is told."""
     if address is None:
         yield None
         return
-    opened = AdminEndpoint(**more)
-    await opened.listen(*address)
+    endpoint = AdminEndpoint(**options)
+    await endpoint.listen(*address)
     try:
-        yield opened
+        yield endpoint
     finally:
-        opened.close()
+        endpoint.close()
--- a/opalgauge/cores/supervisor.py
+++ b/opalgauge/cores/supervisor.py
@@ -29,8 +29,8 @@
 from opalgauge.lifecycle.clock import Clock
 from opalgauge.lifecycle.config import Config, ConfigError, make_config
 from opalgauge.lifecycle.logs import Log
-from opalgauge.lifecycle.reload import reread
-from opalgauge.lifecycle.sources import Reading, Source, told_again
+from opalgauge.lifecycle.reload import reload_settings
+from opalgauge.lifecycle.sources import SettingsReading, SettingsSource, platform_config_json
 from opalgauge.memory.drain import EXIT_MARGIN, DrainSchedule, min_time_to_kill
 from opalgauge.wire.listener import Acceptor, bind
 
@@ -78,15 +78,15 @@
 class Supervisor:
     """One ingress on several cores, from start to exit."""
 
-    def __init__(self, reading: Reading, config: Config, source: Source, log: Log) -> None:
+    def __init__(self, reading: SettingsReading, config: Config, source: SettingsSource, log: Log) -> None:
         self.reading, self.config, self.source, self.log = reading, config, source, log
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
         # The shortest time from SIGTERM to SIGKILL.
-        self.kill_after = min_time_to_kill(config.house.settings.classes)
+        self.kill_after = min_time_to_kill(config.ingress.settings.classes)
         self.answer_deadline: datetime | None = None  # while draining: every request is answered by then
         self.machine = state_machine.StateMachine(self._supervisor_settings(reading))
-        self.slots = max(16, config.house.max_clients // 2)
+        self.slots = max(16, config.ingress.max_clients // 2)
         self.free_slots = list(range(self.slots - 1, -1, -1))
         self.clients: dict[int, Client] = {}
         self.table = SharedTable(reading.workers, self.slots)
@@ -115,9 +115,9 @@
             state_machine.LogLine: lambda effect: self.log(effect.text),
         }
 
-    def _supervisor_settings(self, reading: Reading) -> state_machine.SupervisorSettings:
+    def _supervisor_settings(self, reading: SettingsReading) -> state_machine.SupervisorSettings:
         return state_machine.SupervisorSettings(
-            reading.workers, reading.stall_after, reading.restart_pause, reading.restart_pause_most,
+            reading.workers, reading.stall_after, reading.restart_pause, reading.max_restart_pause,
             drain_timeout=self.kill_after - EXIT_MARGIN,
         )  # fmt: skip
 
@@ -176,15 +176,15 @@
         self.step(state_machine.DrainRequested())
 
     def _reload(self) -> None:
-        def apply(reading: Reading) -> None:
+        def apply(reading: SettingsReading) -> None:
             self.reading = reading
             self.step(state_machine.SettingsChanged(self._supervisor_settings(reading)))
             for worker in self.workers.values():
                 self._send_with_settings(worker, messages.Reload(dict(reading.environ)))
-            if reading.changed:
-                self.log(f"reload: {reading.changed}")
+            if reading.change_summary:
+                self.log(f"reload: {reading.change_summary}")
 
-        reread(self.source, apply, self.log)
+        reload_settings(self.source, apply, self.log)
 
     def _broadcast(self, message: messages.Message) -> None:
         for worker in self.workers.values():
@@ -223,7 +223,7 @@
             start = messages.Start(
                 worker.number, worker.generation, self.table.workers, self.slots,
                 self.reading.stall_after // timedelta(microseconds=1) * 1000, dict(self.reading.environ),
-                self.reading.log_form, self.draining,
+                self.reading.log_format, self.draining,
             )  # fmt: skip
             self._send_with_settings(worker, start)
             status = await worker.process.wait()
@@ -239,7 +239,7 @@
             self.step(state_machine.WorkerExited(worker.number, worker.generation, reason))
 
     def _send_with_settings(self, worker: WorkerProcess, message: messages.Message) -> None:
-        fd = settings_memfd(told_again(self.reading))
+        fd = settings_memfd(platform_config_json(self.reading))
         try:
             if not worker.channel.send(message, fd) and not worker.exited:
                 # Retried, so that no worker stays on old settings. One that does not read is replaced soon,
@@ -327,7 +327,7 @@
             return
         self.acceptor = Acceptor(self.listener, self._accepted)
         host, port = self.config.listen
-        known = len(self.config.house.known_servers)
+        known = len(self.config.ingress.known_servers)
         workers = self.table.workers
         self.log(f"ready: {self.config.name} on {host}:{port}, {known} stock nodes known, {workers} workers")
 
@@ -486,18 +486,18 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
-async def serve(reading: Reading, config: Config, source: Source, log: Log) -> int:
+async def serve(reading: SettingsReading, config: Config, source: SettingsSource, log: Log) -> int:
     """Runs a supervisor until it is asked to stop; returns the exit status."""
     return await Supervisor(reading, config, source, log).serve()
 
 
-def run(reading: Reading, source: Source, log: Log) -> int:
+def run(reading: SettingsReading, source: SettingsSource, log: Log) -> int:
     """Serves on several cores until asked to stop; returns the exit status.
 
     Raises ConfigError or OSError if it cannot start.
     """
-    config = make_config(reading.told, reading.environ)
-    if config.house.max_clients < 2 * reading.workers * 8:
+    config = make_config(reading.platform_config, reading.environ)
+    if config.ingress.max_clients < 2 * reading.workers * 8:
         raise ConfigError(f"sockets are too few for {reading.workers} workers")
     raise_descriptor_limit()
     return uvloop.run(serve(reading, config, source, log))
--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -32,7 +32,7 @@
 from opalgauge.lifecycle.clock import Clock
 from opalgauge.lifecycle.config import Config, make_config
 from opalgauge.lifecycle.logs import make_log
-from opalgauge.lifecycle.reload import LINGER, readdress
+from opalgauge.lifecycle.reload import EXIT_DELAY, report_addresses
 from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
 from opalgauge.memory.state import IngressConfig
@@ -118,8 +118,10 @@
         self.draining = self.supervisor_lost = self.drained = False
         log = make_log(start.log_form, ingress=config.name, worker=self.number)
         self.log = log if start.log_form != "plain" else (lambda text: log(f"worker {self.number}: {text}"))
-        seed = config.house.seed + self.number * 7919 + self.generation  # each generation draws other numbers
-        ingress_config = worker_share(replace(config.house, seed=seed), start.workers)
+        seed = (
+            config.ingress.seed + self.number * 7919 + self.generation
+        )  # each generation draws other numbers
+        ingress_config = worker_share(replace(config.ingress, seed=seed), start.workers)
         self.plans = ingress_config.settings.plans
         self.max_units = ingress_config.settings.max_units
         self.repeatable = [
@@ -369,7 +371,7 @@
             membership = Membership(message.version, tuple(message.members), message.split, message.initial)
             self.ownership.apply(membership, self.clock.now())
         elif isinstance(message, messages.Reload) and fd is not None:
-            readdress(self.exchange.report, make_config(read_settings(fd), message.environ))
+            report_addresses(self.exchange.report, make_config(read_settings(fd), message.environ))
         elif isinstance(message, messages.Drain):
             self._drain()
         elif isinstance(message, messages.AcceptingStopped):
@@ -456,7 +458,7 @@
         self.report_load()
         self.channel.send(messages.ReportReady(len(self.exchange.reducer.config.known_servers)))
         await self.finished.wait()
-        await asyncio.sleep(LINGER.total_seconds())
+        await asyncio.sleep(EXIT_DELAY.total_seconds())
         await self.clients.close(self.exchange.time_to_kill().total_seconds())
 
 
--- a/opalgauge/lab/skewed_clock.py
+++ b/opalgauge/lab/skewed_clock.py
@@ -18,7 +18,7 @@
 
     def skewed_init(self: Clock) -> None:
         original_init(self)
-        self.anchor += skew
+        self.start_time += skew
 
     Clock.__init__ = skewed_init  # type: ignore[method-assign]
     from opalgauge.cli.main import main as command
--- a/opalgauge/lifecycle/clock.py
+++ b/opalgauge/lifecycle/clock.py
@@ -10,16 +10,16 @@
     """Unix time, read once and then advanced by the monotonic clock: no step of the wall clock moves it."""
 
     def __init__(self) -> None:
-        self.anchor, self.started = datetime.now(UTC), self.steady()
+        self.start_time, self.start_monotonic = datetime.now(UTC), self.monotonic()
 
     @staticmethod
-    def steady() -> timedelta:
+    def monotonic() -> timedelta:
         """The machine's monotonic clock: the same for all of its processes, and never stepped."""
         return timedelta(microseconds=time.monotonic_ns() // 1000)
 
     def now(self) -> datetime:
-        return self.anchor + (self.steady() - self.started)
+        return self.start_time + (self.monotonic() - self.start_monotonic)
 
-    def shift(self, by: timedelta) -> None:
+    def shift(self, offset: timedelta) -> None:
         """Moves the clock. Only before anything was decided by it: time must not run back."""
-        self.anchor += by
+        self.start_time += offset
--- a/opalgauge/lifecycle/imports.py
+++ b/opalgauge/lifecycle/imports.py
@@ -11,27 +11,27 @@
 import os
 from collections.abc import Iterator
 
-CERTIFICATES = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
+NO_CERTIFICATES = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
 
 
 @contextlib.contextmanager
-def lean() -> Iterator[None]:
+def fast_imports() -> Iterator[None]:
     """For the time of the imports: no certificates are read and no garbage is looked for.
 
     aiohttp's client reads all certificates of the machine when it is imported, a fifth of a start, and every
     connection of an ingress is plain TCP. Modules being loaded leave next to no garbage, and looking for it
     costs a tenth. Both are as before afterwards.
     """
-    before = {name: os.environ.get(name) for name in CERTIFICATES}
-    collecting = gc.isenabled()
-    os.environ.update(CERTIFICATES)
+    previous = {name: os.environ.get(name) for name in NO_CERTIFICATES}
+    gc_was_enabled = gc.isenabled()
+    os.environ.update(NO_CERTIFICATES)
     gc.disable()
     try:
         yield
     finally:
-        if collecting:
+        if gc_was_enabled:
             gc.enable()
-        for name, value in before.items():
+        for name, value in previous.items():
             if value is None:
                 del os.environ[name]
             else:
--- a/opalgauge/lifecycle/logs.py
+++ b/opalgauge/lifecycle/logs.py
@@ -14,27 +14,27 @@
 Log = Callable[[str], None]
 
 
-def plain(text: str) -> None:
+def log_plain(text: str) -> None:
     # Guards serving against a log that cannot be written for now: its disk is full, or its reader has gone.
     with contextlib.suppress(OSError, ValueError):
         print(f"opalgauge: {text}", file=sys.stderr, flush=True)
 
 
-def make_log(form: str, **always: Any) -> Log:
+def make_log(log_format: str, **context: Any) -> Log:
     """A log of the given form: plain, text (key=value behind the line) or json; `always`: on each."""
-    if form == "plain":
-        return plain
+    if log_format == "plain":
+        return log_plain
     import structlog
 
-    stamp = structlog.processors.TimeStamper(fmt="iso", utc=True, key="time")
-    if form == "json":
-        rename = structlog.processors.EventRenamer("line")
-        chain: list[Any] = [stamp, rename, structlog.processors.JSONRenderer()]
+    timestamper = structlog.processors.TimeStamper(fmt="iso", utc=True, key="time")
+    if log_format == "json":
+        event_renamer = structlog.processors.EventRenamer("line")
+        processors: list[Any] = [timestamper, event_renamer, structlog.processors.JSONRenderer()]
     else:
-        chain = [stamp, _key_value]
+        processors = [timestamper, _render_key_value]
     logger = structlog.wrap_logger(
-        structlog.PrintLogger(sys.stderr), processors=chain, wrapper_class=structlog.BoundLogger
-    ).bind(**always)
+        structlog.PrintLogger(sys.stderr), processors=processors, wrapper_class=structlog.BoundLogger
+    ).bind(**context)
 
     def log(text: str) -> None:
         with contextlib.suppress(OSError, ValueError):
@@ -43,10 +43,10 @@
     return log
 
 
-def _key_value(_: Any, __: str, told: dict[str, Any]) -> str:
+def _render_key_value(_: Any, __: str, event_dict: dict[str, Any]) -> str:
     """`opalgauge: LINE key=value …`, recognisable beside the plain form."""
     import structlog
 
-    line = told.pop("event")
-    rest = structlog.processors.LogfmtRenderer(sort_keys=True)(_, __, told)
-    return f"opalgauge: {line} {rest}"
+    line = event_dict.pop("event")
+    fields = structlog.processors.LogfmtRenderer(sort_keys=True)(_, __, event_dict)
+    return f"opalgauge: {line} {fields}"
--- a/opalgauge/lifecycle/native.py
+++ b/opalgauge/lifecycle/native.py
@@ -22,10 +22,10 @@
     "starlinggap": ("interface", "quota", "slow_start", "brain", "snapshot"),
     "opalgauge.memory": ("events", "effects", "drain", "state", "reducer"),
 }
-OFF = "OPALGAUGE_PLAIN"  # set to anything: the plain modules run
+DISABLE_VARIABLE = "OPALGAUGE_PLAIN"  # set to anything: the plain modules run
 
 
-def sources() -> list[Path]:
+def source_files() -> list[Path]:
     """The compiled modules' files, in the order in which they depend on each other."""
     return [
         ROOT / package.replace(".", "/") / f"{name}.py"
@@ -34,25 +34,25 @@
     ]
 
 
-def digest() -> str:
-    told = hashlib.sha256(f"{sys.version}|{sysconfig.get_platform()}".encode())
-    for path in sources():
-        told.update(path.read_bytes())
-    return told.hexdigest()[:24]
+def source_digest() -> str:
+    sources_hash = hashlib.sha256(f"{sys.version}|{sysconfig.get_platform()}".encode())
+    for path in source_files():
+        sources_hash.update(path.read_bytes())
+    return sources_hash.hexdigest()[:24]
 
 
-def folder() -> Path:
-    return ROOT / ".native" / digest()
+def build_folder() -> Path:
+    return ROOT / ".native" / source_digest()
 
 
-class Finder:
+class CompiledModuleFinder:
     """Finds the modules of one build by their full names."""
 
-    def __init__(self, built: Path) -> None:
-        ending = sysconfig.get_config_var("EXT_SUFFIX")
+    def __init__(self, build: Path) -> None:
+        suffix = sysconfig.get_config_var("EXT_SUFFIX")
         self.files = {
-            ".".join(path.relative_to(built).parts).removesuffix(ending): str(path)
-            for path in built.rglob(f"*{ending}")
+            ".".join(path.relative_to(build).parts).removesuffix(suffix): str(path)
+            for path in build.rglob(f"*{suffix}")
         }
 
     def find_spec(
@@ -62,15 +62,15 @@
         return None if file is None else spec_from_file_location(name, file)
 
 
-def prefer() -> bool:
+def use_compiled_modules() -> bool:
     """Puts the compiled modules before the plain ones; to be called before either is imported."""
-    if OFF in os.environ:
+    if DISABLE_VARIABLE in os.environ:
         return False
     try:
-        built = folder()
-        if not (built / "whole").exists():
+        build = build_folder()
+        if not (build / "whole").exists():
             return False
-        sys.meta_path.insert(0, Finder(built))
+        sys.meta_path.insert(0, CompiledModuleFinder(build))
     except OSError:
         return False
     return True
--- a/opalgauge/lifecycle/words.py
+++ b/opalgauge/lifecycle/parsers.py
@@ -12,17 +12,17 @@
 from datetime import timedelta
 from typing import Any
 
-NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
-SPANS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
-SIZES = {"": 1, "k": 1024, "M": 1024**2, "G": 1024**3}
-PER = {"s": 1.0, "m": 60.0, "h": 3600.0}
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-MOST_COUNT = 2**31 - 1
+NUMBER_PATTERN = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
+DURATION_UNITS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
+SIZE_UNITS = {"": 1, "k": 1024, "M": 1024**2, "G": 1024**3}
+RATE_PERIODS = {"s": 1.0, "m": 60.0, "h": 3600.0}
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
+MAX_COUNT = 2**31 - 1
 
 
 def number(word: str) -> float:
     """A plain decimal, 0 or more."""
-    if not NUMBER.fullmatch(word):
+    if not NUMBER_PATTERN.fullmatch(word):
         raise ValueError("a plain number, such as 2 or 0.55")
     return float(word)
 
@@ -36,28 +36,28 @@
 
 
 def count(word: str) -> int:
-    if not word.isascii() or not word.isdigit() or int(word) > MOST_COUNT:
+    if not word.isascii() or not word.isdigit() or int(word) > MAX_COUNT:
         raise ValueError("a whole number, such as 4")
     return int(word)
 
 
-def positive(word: str) -> int:
+def positive_count(word: str) -> int:
     value = count(word)
     if value < 1:
         raise ValueError("a whole number of 1 or more")
     return value
 
 
-def span(word: str) -> timedelta:
+def duration(word: str) -> timedelta:
     """A duration with its unit."""
-    found = re.fullmatch(rf"({NUMBER.pattern})(us|ms|s|m|h|d)", word)
-    if not found:
+    match = re.fullmatch(rf"({NUMBER_PATTERN.pattern})(us|ms|s|m|h|d)", word)
+    if not match:
         raise ValueError("a duration with its unit (us, ms, s, m, h, d), such as 250ms")
-    return timedelta(seconds=float(found[1]) * SPANS[found[3]])
+    return timedelta(seconds=float(match[1]) * DURATION_UNITS[match[3]])
 
 
-def some_span(word: str) -> timedelta:
-    value = span(word)
+def positive_duration(word: str) -> timedelta:
+    value = duration(word)
     if not value:
         raise ValueError("a duration above 0, such as 250ms")
     return value
@@ -65,10 +65,10 @@
 
 def size(word: str) -> int:
     """Bytes, with k, M or G for powers of 1024."""
-    found = re.fullmatch(r"([0-9]{1,9})([kMG]?)", word)
-    if not found:
+    match = re.fullmatch(r"([0-9]{1,9})([kMG]?)", word)
+    if not match:
         raise ValueError("a size in bytes, or with k, M or G, such as 64k")
-    return int(found[1]) * SIZES[found[2]]
+    return int(match[1]) * SIZE_UNITS[match[2]]
 
 
 class Rate(float):
@@ -77,10 +77,10 @@
 
 def rate(word: str) -> Rate:
     """Units a second, written with the time they are for."""
-    found = re.fullmatch(rf"({NUMBER.pattern})/([smh])", word)
-    if not found:
+    match = re.fullmatch(rf"({NUMBER_PATTERN.pattern})/([smh])", word)
+    if not match:
         raise ValueError("units for a time (s, m, h), such as 2.5/s or 90/m")
-    return Rate(float(found[1]) / PER[found[3]])
+    return Rate(float(match[1]) / RATE_PERIODS[match[3]])
 
 
 def switch(word: str) -> bool:
@@ -102,7 +102,7 @@
 
 
 def name(word: str) -> str:
-    if not NAME.fullmatch(word):
+    if not NAME_PATTERN.fullmatch(word):
         raise ValueError("a name of letters, digits, dots, lines and dashes, 63 at most")
     return word
 
@@ -120,15 +120,15 @@
 
 
 def one_of(*choices: str) -> Callable[[str], str]:
-    def read(word: str) -> str:
+    def parse(word: str) -> str:
         if word not in choices:
             raise ValueError("one of " + ", ".join(choices))
         return word
 
-    return read
+    return parse
 
 
-def said(value: Any) -> str:
+def format_value(value: Any) -> str:
     """A value as a settings file words it."""
     if isinstance(value, bool):
         return "on" if value else "off"
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -11,13 +11,13 @@
 import uvloop
 
 from opalgauge.console.ban_file import BanFile
-from opalgauge.console.endpoint import admin_endpoint
+from opalgauge.console.endpoint import open_admin_endpoint
 from opalgauge.lifecycle.clock import Clock
 from opalgauge.lifecycle.config import Config, ConfigError, Peering, make_config
-from opalgauge.lifecycle.logs import Log, make_log, plain
-from opalgauge.lifecycle.reload import LINGER, readdress, reread
-from opalgauge.lifecycle.sources import PlatformSource, Reading, Source
-from opalgauge.memory import effects as fx
+from opalgauge.lifecycle.logs import Log, log_plain, make_log
+from opalgauge.lifecycle.reload import EXIT_DELAY, reload_settings, report_addresses
+from opalgauge.lifecycle.sources import PlatformSource, SettingsReading, SettingsSource
+from opalgauge.memory import effects
 from opalgauge.memory.events import DrainRequested, Event
 from opalgauge.memory.reducer import BANS_KEY, Reducer
 from opalgauge.wire.clients import Clients
@@ -29,11 +29,11 @@
     from opalgauge.handover.link import Link
     from opalgauge.wire.peers import Peers
 
-CLOCK_STEP = timedelta(milliseconds=250)  # two starts read the same wall clock closer than that
-MARKS_ROUND = timedelta(milliseconds=250)  # what one process was told holds at the other within 1 s
+MIN_CLOCK_STEP = timedelta(milliseconds=250)  # two starts read the same wall clock closer than that
+BAN_POLL_INTERVAL = timedelta(milliseconds=250)  # what one process was told holds at the other within 1 s
 
 
-class Part(Protocol):
+class PeerService(Protocol):
     """One that speaks with the other ingresses."""
 
     def start(self) -> None: ...
@@ -43,90 +43,124 @@
     def figures(self) -> list[str]: ...
 
 
-def watch_marks(loop: asyncio.AbstractEventLoop, ban_file: BanFile, report: Callable[[Event], None]) -> None:
+def poll_ban_file(
+    loop: asyncio.AbstractEventLoop, ban_file: BanFile, report: Callable[[Event], None]
+) -> None:
     """Looks now and then at what staff told this ingress's other process."""
-    ban_file.look(report)
-    loop.call_later(MARKS_ROUND.total_seconds(), watch_marks, loop, ban_file, report)
+    ban_file.poll(report)
+    loop.call_later(BAN_POLL_INTERVAL.total_seconds(), poll_ban_file, loop, ban_file, report)
 
 
-class Joined:
+class PeerServices:
     """What joins this ingress with the others: one datagram address, and the parts that speak over it."""
 
-    def __init__(self, wire: Peers, parts: list[Part], waits: Callable[[], Awaitable[None]] | None) -> None:
-        self.wire, self.parts, self.waits = wire, parts, waits
+    def __init__(
+        self,
+        transport: Peers,
+        services: list[PeerService],
+        wait_until_ready: Callable[[], Awaitable[None]] | None,
+    ) -> None:
+        self.transport, self.services, self.wait_until_ready = transport, services, wait_until_ready
 
     async def start(self, listen: tuple[str, int]) -> None:
         """Until this ingress knows what it needs of the others before it serves."""
         loop = asyncio.get_running_loop()
-        await loop.create_datagram_endpoint(lambda: self.wire, local_addr=listen)
-        for part in self.parts:
-            part.start()
-        if self.waits is not None:
-            await self.waits()
+        await loop.create_datagram_endpoint(lambda: self.transport, local_addr=listen)
+        for service in self.services:
+            service.start()
+        if self.wait_until_ready is not None:
+            await self.wait_until_ready()
 
     def close(self) -> None:
-        for part in self.parts:
-            part.close()
-        self.wire.close()
+        for service in self.services:
+            service.close()
+        self.transport.close()
 
     def figures(self) -> list[str]:
         """Lines for the admin endpoint."""
-        lines = [line for part in self.parts for line in part.figures()]
-        return [*lines, f"peers.words_sent={self.wire.sent}", f"peers.words_dropped={self.wire.dropped}"]
+        lines = [line for service in self.services for line in service.figures()]
+        return [
+            *lines,
+            f"peers.words_sent={self.transport.sent}",
+            f"peers.words_dropped={self.transport.dropped}",
+        ]
 
 
-def join(config: Config, peering: Peering, exchange: Exchange, clock: Clock, log: Log) -> Joined:
+def build_peer_services(
+    config: Config, peering: Peering, exchange: Exchange, clock: Clock, log: Log
+) -> PeerServices:
     """Puts the parts that need the other ingresses beside the reducer. None is loaded where it is off."""
     from opalgauge.wire.peers import Peers
 
-    s, seed = config.house.settings, config.house.seed
-    wire = Peers(peering.peers, asyncio.get_running_loop().time)
-    parts: list[Part] = []
-    if peering.zones:
+    settings, seed = config.ingress.settings, config.ingress.seed
+    transport = Peers(peering.peers, asyncio.get_running_loop().time)
+    services: list[PeerService] = []
+    if peering.watches_zones:
         from opalgauge.zones.channel import Channel as ZoneChannel
         from opalgauge.zones.watch import Rules as ZoneRules
 
-        usual = tuple(timedelta(seconds=c.aim / 5) for c in s.classes)
-        cold = timedelta(seconds=s.slow_start_duration)
-        zones = ZoneRules(
-            config.zones, s.gateways, s.gateway_index, usual, cold, s.slow_start_share, peering.acts
+        usual_latencies = tuple(timedelta(seconds=c.aim / 5) for c in settings.classes)
+        slow_start_duration = timedelta(seconds=settings.slow_start_duration)
+        zone_rules = ZoneRules(
+            config.zones,
+            settings.gateways,
+            settings.gateway_index,
+            usual_latencies,
+            slow_start_duration,
+            settings.slow_start_share,
+            peering.acts_on_zones,
         )
-        judge = ZoneChannel(zones, wire, peering.secret, seed, exchange.report, clock.now, log)
-        exchange.do[fx.ReportAttempt] = judge.seen
-        exchange.do[fx.ReportServers] = judge.listed
-        parts.append(judge)
-    holder = None
-    if config.house.uses_leases:
+        zone_channel = ZoneChannel(
+            zone_rules, transport, peering.secret, seed, exchange.report, clock.now, log
+        )
+        exchange.do[effects.ReportAttempt] = zone_channel.seen
+        exchange.do[effects.ReportServers] = zone_channel.listed
+        services.append(zone_channel)
+    lease_channel = None
+    if config.ingress.uses_leases:
         from opalgauge.leases.channel import Channel as LeaseChannel
         from opalgauge.leases.holder import Rules as LeaseRules
 
-        plans = tuple((p.rate, p.burst) for p in s.plans)
-        ahead, grants = peering.leases in ("ahead", "on"), peering.leases == "on"
-        leases = LeaseRules(s.gateway_index, s.gateways, plans, ahead, grants)
-        holder = LeaseChannel(leases, wire, peering.secret, seed, exchange.report, clock.now, log)
-        exchange.do[fx.ReportAccount] = holder.met
-        exchange.do[fx.AskLeaseHolder] = holder.asked
-        exchange.do[fx.ReportCounterResult] = holder.counted
-        parts.append(holder)
-    waits = None
-    if peering.replicate:
+        plans = tuple((p.rate, p.burst) for p in settings.plans)
+        leases_ahead, grants_to_peers = peering.lease_mode in ("ahead", "on"), peering.lease_mode == "on"
+        lease_rules = LeaseRules(
+            settings.gateway_index, settings.gateways, plans, leases_ahead, grants_to_peers
+        )
+        lease_channel = LeaseChannel(
+            lease_rules, transport, peering.secret, seed, exchange.report, clock.now, log
+        )
+        exchange.do[effects.ReportAccount] = lease_channel.met
+        exchange.do[effects.AskLeaseHolder] = lease_channel.asked
+        exchange.do[effects.ReportCounterResult] = lease_channel.counted
+        services.append(lease_channel)
+    wait_until_ready = None
+    if peering.replicates:
         from opalgauge.replica.channel import Channel as ReplicaChannel
         from starlinggap.snapshot import active_ejections
 
         gateway = exchange.reducer.gateway
-        copy = ReplicaChannel(
-            s.gateway_index, s.gateways, wire, peering.secret, seed, exchange.report, clock.now,
+        replica_channel = ReplicaChannel(
+            settings.gateway_index,
+            settings.gateways,
+            transport,
+            peering.secret,
+            seed,
+            exchange.report,
+            clock.now,
             lambda: active_ejections(gateway, clock.now().timestamp()),
-        )  # fmt: skip
-        exchange.do[fx.ReplicateBan] = copy.marked
-        if holder is not None:
-            holder.spent, holder.leases.heard_of = copy.spent, copy.heard_of
-        parts.append(copy)
-        waits = copy.ready
-    return Joined(wire, parts, waits)
+        )
+        exchange.do[effects.ReplicateBan] = replica_channel.marked
+        if lease_channel is not None:
+            lease_channel.spent, lease_channel.leases.heard_of = (
+                replica_channel.spent,
+                replica_channel.heard_of,
+            )
+        services.append(replica_channel)
+        wait_until_ready = replica_channel.ready
+    return PeerServices(transport, services, wait_until_ready)
 
 
-async def call_old_process(config: Config, exchange: Exchange, clock: Clock, log: Log) -> Link:
+async def connect_to_old_process(config: Config, exchange: Exchange, clock: Clock, log: Log) -> Link:
     """The link to this ingress's other process, which has handed over what it knows, if there is one.
 
     Called before anything is decided: where the wall clock was stepped since the old process started, the new
@@ -137,35 +171,35 @@
 
     reducer = exchange.reducer
 
-    def memory() -> dict[str, Any]:
+    def snapshot() -> dict[str, Any]:
         return {**export_state(reducer.gateway), BANS_KEY: reducer.bans_for_handover()}
 
-    who = Identity.of(config.name, config.settings_told)
-    link = Link(config.scratch, memory, lambda: Moment(clock.now(), clock.steady()), log, who)
+    identity = Identity.of(config.name, config.platform_settings)
+    link = Link(config.state_folder, snapshot, lambda: Moment(clock.now(), clock.monotonic()), log, identity)
     await link.start()
-    if abs(link.ahead) >= CLOCK_STEP:
+    if abs(link.ahead) >= MIN_CLOCK_STEP:
         clock.shift(link.ahead)
         seconds = link.ahead.total_seconds()
         log(f"clock: stepped since the old process started; going on by its time ({seconds:+.1f} s)")
     return link
 
 
-def tell_and_keep(link: Link, ban_file: BanFile | None) -> Callable[[fx.PersistBans], None]:
+def persist_and_share(link: Link, ban_file: BanFile | None) -> Callable[[effects.PersistBans], None]:
     """What staff say goes to the other process as well: guards a ban that cannot be written for now."""
 
-    def keep(effect: fx.PersistBans) -> None:
+    def persist(effect: effects.PersistBans) -> None:
         if ban_file is not None:
-            ban_file.keep(effect)
+            ban_file.save(effect)
         link.tell_bans(effect.bans)
 
-    return keep
+    return persist
 
 
-async def serve(config: Config, source: Source, log: Log = plain) -> None:
+async def serve(config: Config, source: SettingsSource, log: Log = log_plain) -> None:
     loop = asyncio.get_running_loop()
-    over = asyncio.Event()
+    stopped = asyncio.Event()
     clock = Clock()
-    exchange = Exchange(Reducer(config.house), clock.now, NodeListReader(config.zones), log, over.set)
+    exchange = Exchange(Reducer(config.ingress), clock.now, NodeListReader(config.zones), log, stopped.set)
     ready = draining = False
     link: Link | None = None
     clients = exchange.clients = Clients(config.trade, exchange.report, lambda: not draining)
@@ -185,79 +219,86 @@
     def reload() -> None:
         """The addresses of the other parties may change in service, nothing else does."""
 
-        def take(reading: Reading) -> None:
-            readdress(exchange.report, make_config(reading.told, reading.environ))
-            if reading.changed:
-                log(f"reload: {reading.changed}")
+        def apply(reading: SettingsReading) -> None:
+            report_addresses(exchange.report, make_config(reading.platform_config, reading.environ))
+            if reading.change_summary:
+                log(f"reload: {reading.change_summary}")
 
-        reread(source, take, log)
+        reload_settings(source, apply, log)
 
     # Whatever escapes on a connection ends there, and is told in one line.
     loop.set_exception_handler(
-        lambda _, what: exchange.fault(f"{what.get('message')}: {what.get('exception')!r}")
+        lambda _, context: exchange.fault(f"{context.get('message')}: {context.get('exception')!r}")
     )
     loop.add_signal_handler(signal.SIGTERM, drain)
     loop.add_signal_handler(signal.SIGINT, drain)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    loop.add_signal_handler(signal.SIGUSR1, exchange.recorder.write, config.scratch, config.name, log)
-    ban_file = BanFile(config.scratch, log) if config.console and config.scratch else None
+    loop.add_signal_handler(signal.SIGUSR1, exchange.recorder.write, config.state_folder, config.name, log)
+    ban_file = BanFile(config.state_folder, log) if config.admin_address and config.state_folder else None
     if ban_file is not None:
-        exchange.do[fx.PersistBans] = ban_file.keep
-    joined = join(config, config.peering, exchange, clock, log) if config.peering is not None else None
-    if shared and config.scratch:
-        link = await call_old_process(config, exchange, clock, log)
-        exchange.do[fx.PersistBans] = tell_and_keep(link, ban_file)
+        exchange.do[effects.PersistBans] = ban_file.save
+    peer_services = (
+        build_peer_services(config, config.peering, exchange, clock, log)
+        if config.peering is not None
+        else None
+    )
+    if shared and config.state_folder:
+        link = await connect_to_old_process(config, exchange, clock, log)
+        exchange.do[effects.PersistBans] = persist_and_share(link, ban_file)
     exchange.start()
     if link is not None:
         link.go_on(exchange.report)
-    async with admin_endpoint(
-        config.console,
-        kinds=config.kinds,
-        figures=exchange.reducer.status_report,
+    async with open_admin_endpoint(
+        config.admin_address,
+        class_names=config.class_names,
+        status_report=exchange.reducer.status_report,
         report=exchange.report,
-        refusal=lambda: "draining" if draining else "" if ready else "starting",
-        more=joined.figures if joined is not None else None,
-        record=exchange.recorder.lines,
-    ) as opened:
-        if opened is not None:
-            exchange.do[fx.AnswerStaff] = opened.answered
+        not_ready_reason=lambda: "draining" if draining else "" if ready else "starting",
+        extra_lines=peer_services.figures if peer_services is not None else None,
+        record_lines=exchange.recorder.lines,
+    ) as endpoint:
+        if endpoint is not None:
+            exchange.do[effects.AnswerStaff] = endpoint.on_answer
         if ban_file is not None:
-            watch_marks(loop, ban_file, exchange.report)
-        if joined is not None and config.peering is not None:
-            await joined.start(config.peering.listen)
+            poll_ban_file(loop, ban_file, exchange.report)
+        if peer_services is not None and config.peering is not None:
+            await peer_services.start(config.peering.listen)
         if not draining:  # guards clients against one that was asked to stop while it started
             await clients.listen(*config.listen, config.listen_fd)
             ready = True
             if link is not None:
                 link.tell_serving(True)
             host, port = config.listen
-            log(f"ready: {config.name} on {host}:{port}, {len(config.house.known_servers)} stock nodes known")
-        await over.wait()
+            log(
+                f"ready: {config.name} on {host}:{port}, "
+                f"{len(config.ingress.known_servers)} stock nodes known"
+            )
+        await stopped.wait()
         if exchange.reducer.state.streams or exchange.reducer.state.requests:
-            exchange.recorder.write(config.scratch, config.name, log)  # it leaves, and owes something
-        await asyncio.sleep(LINGER.total_seconds())
+            exchange.recorder.write(config.state_folder, config.name, log)  # it leaves, and owes something
+        await asyncio.sleep(EXIT_DELAY.total_seconds())
         if link is not None:
             link.close()
-        if joined is not None:
-            joined.close()
+        if peer_services is not None:
+            peer_services.close()
         await clients.close(exchange.time_to_kill().total_seconds())
     log("drain: nothing owed any more; leaving")
 
 
-def main(source: Source | None = None) -> int:
+def main(source: SettingsSource | None = None) -> int:
     """Serves until asked to stop; 0 after a drain, 2 where a start cannot work."""
-    log: Log = plain
+    log: Log = log_plain
     try:
         source = source or PlatformSource()
         reading = source.read()
-        config = make_config(reading.told, reading.environ)
-        log = make_log(reading.log_form, ingress=config.name)
+        config = make_config(reading.platform_config, reading.environ)
+        log = make_log(reading.log_format, ingress=config.name)
         if reading.workers > 1:
             from opalgauge.cores import supervisor  # not loaded where one core serves
 
             return supervisor.run(reading, source, log)
         uvloop.run(serve(config, source, log))
-    except (ConfigError, OSError) as bad:
-        log(f"cannot start: {bad}")
+    except (ConfigError, OSError) as error:
+        log(f"cannot start: {error}")
         return 2
     return 0
--- a/opalgauge/lifecycle/sources.py
+++ b/opalgauge/lifecycle/sources.py
@@ -10,25 +10,25 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from opalgauge.lifecycle.config import ConfigError, make_config, read_told
+from opalgauge.lifecycle.config import ConfigError, make_config, read_platform_config
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class SettingsReading:
     """One reading of the settings, checked. `told`: in the platform's words; the rest is the daemon's own."""
 
-    told: dict[str, Any]
+    platform_config: dict[str, Any]
     workers: int = 1
     stall_after: timedelta = timedelta(milliseconds=400)
     restart_pause: timedelta = timedelta(milliseconds=250)
-    restart_pause_most: timedelta = timedelta(seconds=15)
-    log_form: str = "plain"
-    changed: str = ""  # against the reading before, for the log
+    max_restart_pause: timedelta = timedelta(seconds=15)
+    log_format: str = "plain"
+    change_summary: str = ""  # against the reading before, for the log
     environ: Mapping[str, str] = field(default_factory=dict)
 
 
-class Source(Protocol):
-    def read(self) -> Reading:
+class SettingsSource(Protocol):
+    def read(self) -> SettingsReading:
         """Reads and checks everything again. Raises ConfigError, and then nothing has changed."""
 
 
@@ -38,53 +38,55 @@
     def __init__(self, environ: Mapping[str, str] = os.environ) -> None:
         self.environ = environ
 
-    def read(self) -> Reading:
-        told = read_told(self.environ)
-        make_config(told, self.environ)
-        return Reading(told, environ=self.environ)
+    def read(self) -> SettingsReading:
+        platform_config = read_platform_config(self.environ)
+        make_config(platform_config, self.environ)
+        return SettingsReading(platform_config, environ=self.environ)
 
 
 class FileSource:
     """Our own settings file, with or without the platform's beside it."""
 
     def __init__(self, path: str) -> None:
-        from opalgauge.lifecycle.settings import DaemonSettings
+        from opalgauge.lifecycle.settings_file import DaemonSettings
 
         self.path = Path(path)
-        self.last: DaemonSettings | None = None
+        self.previous: DaemonSettings | None = None
         self.seed: str | None = None
 
-    def read(self) -> Reading:
-        from opalgauge.lifecycle import settings as s
+    def read(self) -> SettingsReading:
+        from opalgauge.lifecycle import settings_file
 
         try:
-            new = s.parse(self.path)
-        except s.SettingsFileError as bad:
-            raise ConfigError(f"settings cannot be used: {bad}") from None
+            new = settings_file.parse(self.path)
+        except settings_file.SettingsFileError as error:
+            raise ConfigError(f"settings cannot be used: {error}") from None
         environ: Mapping[str, str] = {}
         if platform := new.get("platform"):
             # The environment's address counts beside the platform's own file only.
             environ = {**os.environ, "BALANCER_CONFIG": str(self.path.parent / platform)}
-            told = read_told(environ)
+            platform_config = read_platform_config(environ)
         else:
-            told = s.as_told(new)
+            platform_config = settings_file.to_platform_config(new)
             if new.get("seed") is None:
-                self.seed = told["seed"] = self.seed or told["seed"]  # drawn once a life
-        told["peering"] = s.peering(new)
-        make_config(told, environ)
-        changed = ""
-        if self.last is not None:
-            live, later = s.changes(self.last, new)
-            parts = [f"in force: {', '.join(live)}"] if live else []
-            parts += [f"after a restart only: {', '.join(later)}"] if later else []
-            changed = "; ".join(parts) or "no directive has changed"
-        self.last = new
-        return Reading(
-            told, new.get("workers"), new.get("stall-after"), new.get("restart-pause"),
-            new.get("restart-pause-most"), new.get("log"), changed, environ,
+                self.seed = platform_config["seed"] = (
+                    self.seed or platform_config["seed"]
+                )  # drawn once a life
+        platform_config["peering"] = settings_file.to_peering_config(new)
+        make_config(platform_config, environ)
+        change_summary = ""
+        if self.previous is not None:
+            reloaded, pending = settings_file.changed_directives(self.previous, new)
+            parts = [f"in force: {', '.join(reloaded)}"] if reloaded else []
+            parts += [f"after a restart only: {', '.join(pending)}"] if pending else []
+            change_summary = "; ".join(parts) or "no directive has changed"
+        self.previous = new
+        return SettingsReading(
+            platform_config, new.get("workers"), new.get("stall-after"), new.get("restart-pause"),
+            new.get("restart-pause-most"), new.get("log"), change_summary, environ,
         )  # fmt: skip
 
 
-def told_again(reading: Reading) -> str:
+def platform_config_json(reading: SettingsReading) -> str:
     """A reading's settings as one JSON line, for a worker."""
-    return json.dumps(reading.told)
+    return json.dumps(reading.platform_config)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,29 +6,29 @@
 
 from tests import known_red
 
-REDS = pytest.StashKey[tuple[known_red.Red, ...]]()
+KNOWN_FAILURES = pytest.StashKey[tuple[known_red.KnownFailure, ...]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
     path = config.rootpath / "KNOWN-RED.txt"
     try:
-        config.stash[REDS] = known_red.read(path.read_text()) if path.exists() else ()
-    except known_red.Unusable as bad:
-        raise pytest.UsageError(str(bad)) from None
+        config.stash[KNOWN_FAILURES] = known_red.parse(path.read_text()) if path.exists() else ()
+    except known_red.InvalidList as error:
+        raise pytest.UsageError(str(error)) from None
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    reds = config.stash[REDS]
-    all_of_them = config.args == config.getini("testpaths") and not config.option.keyword
-    if all_of_them and (names := known_red.unknown(reds, {item.nodeid for item in items})):
-        raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {', '.join(names)}")
-    causes = {red.test: red for red in reds}
+    failures = config.stash[KNOWN_FAILURES]
+    whole_suite = config.args == config.getini("testpaths") and not config.option.keyword
+    if whole_suite and (unknown_tests := known_red.unknown(failures, {item.nodeid for item in items})):
+        raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {', '.join(unknown_tests)}")
+    by_test = {failure.test: failure for failure in failures}
     for item in items:
-        if red := causes.get(item.nodeid):
-            reason = f"{red.cause} ({red.issue})"
+        if failure := by_test.get(item.nodeid):
+            reason = f"{failure.cause} ({failure.issue})"
             item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for red in config.stash[REDS]:
-        terminalreporter.write_line(f"known red: {red.test}: {red.cause} ({red.issue})")
+    for failure in config.stash[KNOWN_FAILURES]:
+        terminalreporter.write_line(f"known red: {failure.test}: {failure.cause} ({failure.issue})")
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -116,11 +116,11 @@
     process: asyncio.subprocess.Process
     config: dict[str, Any]
     path: Path
-    door: tuple[str, int] = ("", 0)
+    admin_address: tuple[str, int] = ("", 0)
 
     async def call(self, line: bytes) -> bytes:
         """What the admin endpoint answers to a call, up to the connection's end."""
-        reader, writer = await asyncio.open_connection(*self.door)
+        reader, writer = await asyncio.open_connection(*self.admin_address)
         writer.write(line)
         try:
             return await asyncio.wait_for(reader.read(), 20)
@@ -183,14 +183,14 @@
 
     With `listener` the clients' socket is inherited, and `scratch` is the folder that its processes share.
     """
-    port, door = port or free_port(), free_port()
+    port, admin_port = port or free_port(), free_port()
     host = {"host": "s-1", "dial": node, "site": "bat-a", "class": "std-2c", "block": 0,
             "health": "in_service", "share": 1.0, "born_ms": 0}  # fmt: skip
     config = {
         "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": nodes, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": quota,
         "known": {"seq": 41, "whole": True, "hosts": [host]}, "settings": settings,
-        "console": f"127.0.0.1:{door}",
+        "console": f"127.0.0.1:{admin_port}",
     }  # fmt: skip
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
@@ -205,7 +205,7 @@
             pass_fds=() if listener is None else (listener.fileno(),),
         )  # fmt: skip
         try:
-            yield Ingress(("127.0.0.1", port), process, config, path, ("127.0.0.1", door))
+            yield Ingress(("127.0.0.1", port), process, config, path, ("127.0.0.1", admin_port))
         finally:
             if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -8,35 +8,35 @@
 import re
 from dataclasses import dataclass
 
-MOST = 3
-ISSUE = re.compile(r"issue \d+")
+MAX_ENTRIES = 3
+ISSUE_PATTERN = re.compile(r"issue \d+")
 
 
-class Unusable(ValueError):
+class InvalidList(ValueError):
     """The list itself is at fault; the message says why in one line."""
 
 
 @dataclass(frozen=True)
-class Red:
+class KnownFailure:
     test: str
     cause: str
     issue: str
 
 
-def read(text: str) -> tuple[Red, ...]:
-    reds = []
+def parse(text: str) -> tuple[KnownFailure, ...]:
+    failures = []
     for line in filter(None, map(str.strip, text.splitlines())):
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts) or not ISSUE.fullmatch(parts[2]):
-            raise Unusable(f"KNOWN-RED.txt: not `test | cause | issue N`: {line}")
-        reds.append(Red(*parts))
-    if len(reds) > MOST:
-        raise Unusable(f"KNOWN-RED.txt: {len(reds)} lines; {MOST} at most")
-    if len({red.test for red in reds}) < len(reds):
-        raise Unusable("KNOWN-RED.txt: a test stands there twice")
-    return tuple(reds)
+        if len(parts) != 3 or not all(parts) or not ISSUE_PATTERN.fullmatch(parts[2]):
+            raise InvalidList(f"KNOWN-RED.txt: not `test | cause | issue N`: {line}")
+        failures.append(KnownFailure(*parts))
+    if len(failures) > MAX_ENTRIES:
+        raise InvalidList(f"KNOWN-RED.txt: {len(failures)} lines; {MAX_ENTRIES} at most")
+    if len({failure.test for failure in failures}) < len(failures):
+        raise InvalidList("KNOWN-RED.txt: a test stands there twice")
+    return tuple(failures)
 
 
-def unknown(reds: tuple[Red, ...], tests: set[str]) -> list[str]:
+def unknown(failures: tuple[KnownFailure, ...], tests: set[str]) -> list[str]:
     """What is listed and is no test."""
-    return [red.test for red in reds if red.test not in tests]
+    return [failure.test for failure in failures if failure.test not in tests]
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from opalgauge.console import bans
-from opalgauge.console.ban_file import NAME, NEW
+from opalgauge.console import ban_record
+from opalgauge.console.ban_file import FILE_NAME, TEMP_NAME
 from tests import harness
 from tests.shim import Shim
 
@@ -107,7 +107,7 @@
                     shim.give("folder", errno.ENOSPC)
                     assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
                     assert shim.given("folder") > 0
-                    kept = Path(scratch) / NAME
+                    kept = Path(scratch) / FILE_NAME
                     assert not kept.exists()
                     async with harness.ingress(
                         server_address, counter_address, list_address, listener, scratch, environ=shim.environ
@@ -117,8 +117,8 @@
                         async with asyncio.timeout(20):
                             while not kept.exists():
                                 await asyncio.sleep(0.02)
-                        told = bans.read(kept.read_bytes())
-                        assert told is not None and [(name, out) for name, out, _ in told] == [("s-1", True)]
+                        bans = ban_record.decode(kept.read_bytes())
+                        assert bans is not None and [(name, out) for name, out, _ in bans] == [("s-1", True)]
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
@@ -126,8 +126,8 @@
 def test_a_restart_over_a_truncated_ban_file_serves_and_keeps_new_bans() -> None:
     async def scenario() -> None:
         with tempfile.TemporaryDirectory() as scratch:
-            (Path(scratch) / NAME).write_bytes(b"opalgauge-marks-1 400 ab")
-            (Path(scratch) / NEW).write_bytes(b"opalgau")
+            (Path(scratch) / FILE_NAME).write_bytes(b"opalgauge-marks-1 400 ab")
+            (Path(scratch) / TEMP_NAME).write_bytes(b"opalgau")
             async with (
                 harness.party(ok) as (server_address, _),
                 harness.party(harness.counter()) as (counter_address, _),
@@ -136,8 +136,8 @@
             ):
                 assert b" 200 " in await ingress.ask("GET", "/stock-check")
                 assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")
-                told = bans.read((Path(scratch) / NAME).read_bytes())
-                assert told is not None and told[0][:2] == ("s-1", True)
+                bans = ban_record.decode((Path(scratch) / FILE_NAME).read_bytes())
+                assert bans is not None and bans[0][:2] == ("s-1", True)
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
--- a/tests/test_cores_supervisor.py
+++ b/tests/test_cores_supervisor.py
@@ -11,9 +11,9 @@
 from opalgauge.cores.sockets import socket_progress
 from opalgauge.cores.supervisor import Client, Supervisor
 from opalgauge.lifecycle.config import make_config
-from opalgauge.lifecycle.settings import as_told
-from opalgauge.lifecycle.sources import PlatformSource, Reading
-from tests.test_settings_file import GOOD, parse
+from opalgauge.lifecycle.settings_file import to_platform_config
+from opalgauge.lifecycle.sources import PlatformSource, SettingsReading
+from tests.test_settings_file import VALID_FILE, parse
 
 REQUEST = b"GET /stock-check HTTP/1.1\r\n\r\n"
 
@@ -31,9 +31,9 @@
     """Runs a scene with one connection in slot 3, held by generation 1 of worker 0, which has ended."""
 
     async def run() -> None:
-        settings = as_told(parse(GOOD + "workers 2"))
+        settings = to_platform_config(parse(VALID_FILE + "workers 2"))
         supervisor = RecordingSupervisor(
-            Reading(settings, 2), make_config(settings, {}), PlatformSource({}), lambda _: None
+            SettingsReading(settings, 2), make_config(settings, {}), PlatformSource({}), lambda _: None
         )
         supervisor.reassigned = []
         with socket.create_server(("127.0.0.1", 0)) as server:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -5,12 +5,12 @@
 import subprocess
 import sys
 
-LOAD = """
+LOAD_SCRIPT = """
 import gc, os
 os.environ["SSL_CERT_DIR"] = "/somewhere"
 os.environ.pop("SSL_CERT_FILE", None)
-from opalgauge.lifecycle.imports import lean
-with lean():
+from opalgauge.lifecycle.imports import fast_imports
+with fast_imports():
     import opalgauge.lifecycle.service
 import aiohttp.connector
 print(aiohttp.connector._SSL_CONTEXT_VERIFIED.cert_store_stats()["x509"], gc.isenabled(),
@@ -18,12 +18,14 @@
 """
 
 
-def test_a_start_reads_no_certificates_and_leaves_environment_and_collector_as_they_were() -> None:
+def test_fast_imports_reads_no_certificates_and_restores_the_process_state() -> None:
     # Guards what a killed fleet waits for: reading them was a fifth of a start's CPU.
-    said = subprocess.run([sys.executable, "-c", LOAD], capture_output=True, text=True, check=True).stdout
-    assert said.split() == ["0", "True", "None", "/somewhere"]
+    output = subprocess.run(
+        [sys.executable, "-c", LOAD_SCRIPT], capture_output=True, text=True, check=True
+    ).stdout
+    assert output.split() == ["0", "True", "None", "/somewhere"]
 
 
-def test_the_program_is_started_so() -> None:
+def test_the_entry_point_uses_fast_imports() -> None:
     with open("opalgauge/__main__.py") as file:
-        assert "with lean():\n        from opalgauge.lifecycle.service import main" in file.read()
+        assert "with fast_imports():\n        from opalgauge.lifecycle.service import main" in file.read()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).parent.parent
 # What is left out of a package's row may not be imported by it. Its edge may also import what stands second.
-CORE: dict[str, set[str]] = {
+ALLOWED_IMPORTS: dict[str, set[str]] = {
     "starlinggap": set(),
     "memory": {"starlinggap"},
     "wire": {"memory", "starlinggap"},
@@ -22,7 +22,7 @@
     "cores": {"memory", "starlinggap"},
     "lab": {"memory", "starlinggap", "wire", "zones", "leases", "replica", "lifecycle"},
 }
-EDGE: dict[str, tuple[set[str], set[str]]] = {  # its modules, and what these may import besides
+EDGE_MODULES: dict[str, tuple[set[str], set[str]]] = {  # its modules, and what these may import besides
     "console": ({"endpoint", "ban_file"}, {"wire"}),
     "zones": ({"channel"}, {"wire"}),
     "leases": ({"channel"}, {"wire"}),
@@ -47,8 +47,8 @@
     """Our own modules that one imports, wherever in it that stands."""
     for node in ast.walk(ast.parse(MODULES[name].read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
-            told = [f"{node.module}.{a.name}" for a in node.names]
-            yield from (t if t in MODULES else node.module for t in told)
+            candidates = [f"{node.module}.{a.name}" for a in node.names]
+            yield from (t if t in MODULES else node.module for t in candidates)
         elif isinstance(node, ast.Import):
             yield from (a.name for a in node.names)
 
@@ -58,31 +58,31 @@
     return rest.partition(".")[0] if first == "opalgauge" else first
 
 
-def ours(name: str) -> bool:
+def is_project_module(name: str) -> bool:
     return name.partition(".")[0] in ("opalgauge", "starlinggap")
 
 
-@pytest.mark.parametrize("name", sorted(n for n in MODULES if package(n) in CORE))
-def test_a_module_imports_only_what_its_folder_may(name: str) -> None:
-    here = package(name)
-    may = CORE[here] | {here}
-    edge, besides = EDGE.get(here, (set(), set()))
+@pytest.mark.parametrize("name", sorted(n for n in MODULES if package(n) in ALLOWED_IMPORTS))
+def test_a_module_imports_only_allowed_packages(name: str) -> None:
+    own_package = package(name)
+    allowed = ALLOWED_IMPORTS[own_package] | {own_package}
+    edge, extra = EDGE_MODULES.get(own_package, (set(), set()))
     if name.rpartition(".")[2] in edge:
-        may = may | besides
-    assert {package(n) for n in imports(name) if ours(n)} <= may
+        allowed = allowed | extra
+    assert {package(n) for n in imports(name) if is_project_module(n)} <= allowed
 
 
-def test_nobody_but_the_command_line_imports_the_laboratory() -> None:
-    users = {package(name) for name in MODULES for other in imports(name) if package(other) == "lab"}
-    assert users <= {"lab", "cli"}
+def test_only_the_command_line_imports_the_lab() -> None:
+    importers = {package(name) for name in MODULES for other in imports(name) if package(other) == "lab"}
+    assert importers <= {"lab", "cli"}
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
-    after = {name: {n for n in imports(name) if n in MODULES and n != name} for name in MODULES}
-    while ends := [name for name, others in after.items() if not others]:
-        for name in ends:
-            del after[name]
-        for others in after.values():
-            others.difference_update(ends)
+def test_there_are_no_import_cycles() -> None:
+    remaining = {name: {n for n in imports(name) if n in MODULES and n != name} for name in MODULES}
+    while leaves := [name for name, others in remaining.items() if not others]:
+        for name in leaves:
+            del remaining[name]
+        for others in remaining.values():
+            others.difference_update(leaves)
     # What is left imports only what is left: a circle, and whoever leads to one.
-    assert after == {}
+    assert remaining == {}
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture
-def small(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
+def small_tree(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     """A tree of one module to compile, in place of the program's own."""
     (tmp_path / "trade").mkdir()
     (tmp_path / "trade" / "__init__.py").write_text("")
@@ -38,50 +38,50 @@
     return tmp_path
 
 
-def loaded(tree: Path, **environ: str) -> str:
+def load_in(tree: Path, **environ: str) -> str:
     """The file that a program in that tree gets the module from, and what the module does."""
     code = (
         f"import sys; sys.path.insert(0, {str(harness.ROOT)!r}); sys.path.insert(0, {str(tree)!r})\n"
         "from pathlib import Path; from opalgauge.lifecycle import native\n"
         f"native.ROOT = Path({str(tree)!r}); native.COMPILED = {{'trade': ('total',)}}\n"
-        "native.prefer()\n"
+        "native.use_compiled_modules()\n"
         "from trade import total; t = total.Total(); t.add(2); print(total.__file__, t.add(3))"
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, timeout=120,
         cwd=tree, env={**os.environ, **environ},
     )  # fmt: skip
-    return done.stdout.strip()
+    return result.stdout.strip()
 
 
 @pytest.mark.skipif(shutil.which("cc") is None, reason="no C compiler here: plain Python runs")
-def test_a_build_is_used_for_exactly_its_sources_and_for_no_others(small: Path) -> None:
+def test_a_build_is_used_only_for_its_exact_sources(small_tree: Path) -> None:
     assert nativebuild.build().endswith("built")
     assert nativebuild.build().endswith("stands already")
-    assert ".so 5" in loaded(small)
-    assert "total.py 5" in loaded(small, **{native.OFF: "1"})
-    source = small / "trade" / "total.py"
+    assert ".so 5" in load_in(small_tree)
+    assert "total.py 5" in load_in(small_tree, **{native.DISABLE_VARIABLE: "1"})
+    source = small_tree / "trade" / "total.py"
     source.write_text(SOURCE.replace("+= units", "+= 2 * units"))
     os.utime(source, (0, 0))  # older than the build: a time would not tell
-    assert "total.py 10" in loaded(small)
+    assert "total.py 10" in load_in(small_tree)
     assert nativebuild.build().endswith("built")
-    assert ".so 10" in loaded(small)
-    assert len(list((small / ".native").iterdir())) == 1  # the build of other sources is gone
+    assert ".so 10" in load_in(small_tree)
+    assert len(list((small_tree / ".native").iterdir())) == 1  # the build of other sources is gone
 
 
-def test_what_cannot_be_compiled_runs_as_plain_python(small: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_plain_python_runs_when_compilation_fails(small_tree: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("CC", "/bin/false")
-    said = nativebuild.build()
-    assert "plain Python will run" in said and "\n" not in said
-    assert "total.py 5" in loaded(small)
+    message = nativebuild.build()
+    assert "plain Python will run" in message and "\n" not in message
+    assert "total.py 5" in load_in(small_tree)
 
 
-def test_a_build_that_was_cut_off_is_not_used(small: Path) -> None:
-    half = native.folder() / "trade"
-    half.mkdir(parents=True)
-    (half / "total.py").write_text("raise SystemExit(9)")
-    assert "total.py 5" in loaded(small) and ".native" not in loaded(small)
+def test_an_incomplete_build_is_not_used(small_tree: Path) -> None:
+    partial = native.build_folder() / "trade"
+    partial.mkdir(parents=True)
+    (partial / "total.py").write_text("raise SystemExit(9)")
+    assert "total.py 5" in load_in(small_tree) and ".native" not in load_in(small_tree)
 
 
-def test_the_sources_named_for_it_are_there() -> None:
-    assert all(path.exists() for path in native.sources())
+def test_all_listed_sources_exist() -> None:
+    assert all(path.exists() for path in native.source_files())
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -14,17 +14,17 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from opalgauge.lifecycle import settings as s
+from opalgauge.lifecycle import settings_file
 from opalgauge.lifecycle.config import ConfigError, make_config
 from opalgauge.lifecycle.directives import DIRECTIVES
 from opalgauge.lifecycle.sources import FileSource
-from starlinggap import interface as i
+from starlinggap import interface
 from tests import harness
 
-GOOD = """
+VALID_FILE = """
 listen 127.0.0.1:5000
 stock-node s-1 127.0.0.1:7001
 kind stock-check repeat=safe aim=400ms deadline=1200ms worth=2
@@ -33,27 +33,27 @@
 """
 
 
-def parse(text: str, **more: str) -> s.DaemonSettings:
-    files = {"main.conf": text, **{k.replace("_", "."): v for k, v in more.items()}}
+def parse(text: str, **included: str) -> settings_file.DaemonSettings:
+    files = {"main.conf": text, **{k.replace("_", "."): v for k, v in included.items()}}
 
     def read(path: Path) -> str:
         if path.name not in files:
             raise FileNotFoundError(2, "No such file", str(path))
         return files[path.name]
 
-    return s.parse(Path("main.conf"), read)
+    return settings_file.parse(Path("main.conf"), read)
 
 
-def test_a_good_file_says_all_that_serving_needs() -> None:
-    config = make_config(s.as_told(parse(GOOD)), {})
+def test_a_minimal_file_gives_a_complete_config() -> None:
+    config = make_config(settings_file.to_platform_config(parse(VALID_FILE)), {})
     assert config.listen == ("127.0.0.1", 5000)
-    assert [n.address for n in config.house.known_servers] == ["127.0.0.1:7001"]
-    assert config.house.settings.plans[0].rate == pytest.approx(1.5)
-    assert config.house.settings.classes[1].deadline == 3.0
-    assert not config.house.settings.use_counter and not config.house.server_list_address
+    assert [n.address for n in config.ingress.known_servers] == ["127.0.0.1:7001"]
+    assert config.ingress.settings.plans[0].rate == pytest.approx(1.5)
+    assert config.ingress.settings.classes[1].deadline == 3.0
+    assert not config.ingress.settings.use_counter and not config.ingress.server_list_address
 
 
-MISTAKES = {
+INVALID_FILES = {
     "an unknown directive": ("worker 4", "main.conf:1: unknown directive 'worker'; did you mean workers?"),
     "a number that is none": ("workers four", "main.conf:1: workers: 'four' cannot be used"),
     "no unit": ("stall-after 400", "main.conf:1: stall-after: '400' cannot be used; it takes a duration"),
@@ -63,107 +63,141 @@
     "said twice": ("name a\nname b", "main.conf:2: name stands already at main.conf:1; keep one"),
     "an open quote": ('name "a', "main.conf:1: no closing quotation; quotes come in pairs"),
     "an unknown option": (
-        "tariff t rate=1/s burst=3 prize=2", "main.conf:1: tariff has no 'prize'; did you mean price?",
+        "tariff t rate=1/s burst=3 prize=2",
+        "main.conf:1: tariff has no 'prize'; did you mean price?",
     ),
     "an option that is missing": ("tariff t rate=1/s", "main.conf:1: tariff t lacks burst=…"),
     "an include that is missing": ("include other.conf", "main.conf:1: other.conf cannot be read"),
     "an include of itself": ("include main.conf", "main.conf:1: main.conf is included more than 8 deep"),
     "two nodes of a name": (
-        GOOD + "stock-node s-1 127.0.0.1:7002", "main.conf:7: stock-node s-1 stands already at main.conf:3",
+        VALID_FILE + "stock-node s-1 127.0.0.1:7002",
+        "main.conf:7: stock-node s-1 stands already at main.conf:3",
     ),
     "a site that is none": (
-        GOOD + "stock-node s-2 127.0.0.1:7002 site=bat-c", "main.conf:7: site bat-c is none of sites (main)",
+        VALID_FILE + "stock-node s-2 127.0.0.1:7002 site=bat-c",
+        "main.conf:7: site bat-c is none of sites (main)",
     ),
     "nothing": ("", "main.conf: listen is missing"),
-    "many ingresses alone": (GOOD + "ingresses 3", "main.conf:7: more than one ingress needs a counter"),
+    "many ingresses alone": (
+        VALID_FILE + "ingresses 3",
+        "main.conf:7: more than one ingress needs a counter",
+    ),
     "an aim after its deadline": (
-        GOOD.replace("aim=400ms", "aim=2s"), "main.conf:4: kind stock-check: aim is later than its deadline",
+        VALID_FILE.replace("aim=400ms", "aim=2s"),
+        "main.conf:4: kind stock-check: aim is later than its deadline",
     ),
     "zones with several cores": (
-        GOOD + "workers 2\nzone-leave on", "main.conf:8: zone-leave needs workers 1",
+        VALID_FILE + "workers 2\nzone-leave on",
+        "main.conf:8: zone-leave needs workers 1",
     ),
     "leases with several cores": (
-        GOOD + "workers 2\nleases on\ncounter 127.0.0.1:1", "main.conf:8: leases needs workers 1",
+        VALID_FILE + "workers 2\nleases on\ncounter 127.0.0.1:1",
+        "main.conf:8: leases needs workers 1",
     ),
-    "leases of nothing": (GOOD + "leases on", "main.conf:7: leases need a counter"),
+    "leases of nothing": (VALID_FILE + "leases on", "main.conf:7: leases need a counter"),
     "peers that cannot answer": (
-        GOOD + "zone-leave on\npeer 1 127.0.0.1:7100", "main.conf:8: peers without peer-listen",
+        VALID_FILE + "zone-leave on\npeer 1 127.0.0.1:7100",
+        "main.conf:8: peers without peer-listen",
     ),
     "itself as a peer": (
-        GOOD + "counter 127.0.0.1:1\ningresses 3\npeer 0 127.0.0.1:7100",
+        VALID_FILE + "counter 127.0.0.1:1\ningresses 3\npeer 0 127.0.0.1:7100",
         "main.conf:9: peer 0 is no other one of 3 ingresses",
     ),
     "trade beside the platform": (
-        "platform p.json\ncounter 127.0.0.1:1", "main.conf:2: counter is told by the platform line",
+        "platform p.json\ncounter 127.0.0.1:1",
+        "main.conf:2: counter is told by the platform line",
     ),
-}  # fmt: skip
+}
 
 
-@pytest.mark.parametrize("case", MISTAKES)
-def test_a_mistake_is_told_with_its_place_and_what_would_be_right(case: str) -> None:
-    text, told = MISTAKES[case]
-    with pytest.raises(s.SettingsFileError) as bad:
+@pytest.mark.parametrize("case", INVALID_FILES)
+def test_an_error_names_its_location_and_the_expected_value(case: str) -> None:
+    text, expected = INVALID_FILES[case]
+    with pytest.raises(settings_file.SettingsFileError) as error:
         parse(text)
-    assert any(m.startswith(told) for m in bad.value.mistakes), bad.value.mistakes
+    assert any(m.startswith(expected) for m in error.value.errors), error.value.errors
 
 
-def test_only_the_settings_file_joins_an_ingress_with_others() -> None:
-    more = "zone-leave {}\npeer-listen 127.0.0.1:7101\npeer-secret x\n"
+def test_peering_comes_only_from_the_settings_file() -> None:
+    peer_lines = "zone-leave {}\npeer-listen 127.0.0.1:7101\npeer-secret x\n"
     for word, acts in (("on", True), ("watch", False)):
-        settings = parse(GOOD + more.format(word))
-        config = make_config({**s.as_told(settings), "peering": s.peering(settings)}, {})
-        assert config.peering is not None and config.peering.acts is acts and config.house.watches_zones
+        settings = parse(VALID_FILE + peer_lines.format(word))
+        config = make_config(
+            {
+                **settings_file.to_platform_config(settings),
+                "peering": settings_file.to_peering_config(settings),
+            },
+            {},
+        )
+        assert (
+            config.peering is not None
+            and config.peering.acts_on_zones is acts
+            and config.ingress.watches_zones
+        )
         assert config.peering.listen == ("127.0.0.1", 7101) and config.peering.secret == b"x"
-    assert s.peering(parse(GOOD + more.format("off"))) is None
-    settings = parse(GOOD + more.format("off") + "leases ahead\ncounter 127.0.0.1:1\n")
-    config = make_config({**s.as_told(settings), "peering": s.peering(settings)}, {})
-    assert config.peering is not None and config.peering.leases == "ahead"
-    assert config.house.uses_leases and not config.house.watches_zones
-    plain = make_config(s.as_told(parse(GOOD)), {})
-    assert plain.peering is None and not plain.house.watches_zones
+    assert settings_file.to_peering_config(parse(VALID_FILE + peer_lines.format("off"))) is None
+    settings = parse(VALID_FILE + peer_lines.format("off") + "leases ahead\ncounter 127.0.0.1:1\n")
+    config = make_config(
+        {**settings_file.to_platform_config(settings), "peering": settings_file.to_peering_config(settings)},
+        {},
+    )
+    assert config.peering is not None and config.peering.lease_mode == "ahead"
+    assert config.ingress.uses_leases and not config.ingress.watches_zones
+    plain = make_config(settings_file.to_platform_config(parse(VALID_FILE)), {})
+    assert plain.peering is None and not plain.ingress.watches_zones
 
 
-def test_an_included_file_counts_as_if_it_stood_there() -> None:
-    settings = parse("include rest.conf\nworkers 3", rest_conf=GOOD)
-    assert settings.get("workers") == 3 and settings.many("tariff")[0].where == "rest.conf:6"
+def test_an_included_file_is_read_in_place() -> None:
+    settings = parse("include rest.conf\nworkers 3", rest_conf=VALID_FILE)
+    assert settings.get("workers") == 3 and settings.get_all("tariff")[0].location == "rest.conf:6"
 
 
-def test_what_check_prints_means_the_same_when_it_is_read_again() -> None:
-    first = parse(GOOD + "workers 3\nstall-after 1500us")
-    again = parse("\n".join(s.shown(first)).replace("    # default", ""))
-    assert again.get("stall-after") == timedelta(microseconds=1500)
-    told, told_again = (json.dumps({**s.as_told(x), "seed": ""}, sort_keys=True) for x in (first, again))
-    assert told == told_again
+def test_effective_lines_parse_back_to_the_same_config() -> None:
+    parsed = parse(VALID_FILE + "workers 3\nstall-after 1500us")
+    reparsed = parse("\n".join(settings_file.effective_lines(parsed)).replace("    # default", ""))
+    assert reparsed.get("stall-after") == timedelta(microseconds=1500)
+    first, second = (
+        json.dumps({**settings_file.to_platform_config(x), "seed": ""}, sort_keys=True)
+        for x in (parsed, reparsed)
+    )
+    assert first == second
 
 
-def test_a_reload_says_what_holds_now_and_what_waits_for_a_restart() -> None:
-    live, later = s.changes(parse(GOOD), parse(GOOD + "workers 2\ncounter 127.0.0.1:6400\nstall-after 2s"))
-    assert (live, later) == (["stall-after", "counter"], ["workers"])
+def test_changes_are_split_into_live_ones_and_those_after_a_restart() -> None:
+    live_changes, after_restart = settings_file.changed_directives(
+        parse(VALID_FILE), parse(VALID_FILE + "workers 2\ncounter 127.0.0.1:6400\nstall-after 2s")
+    )
+    assert (live_changes, after_restart) == (["stall-after", "counter"], ["workers"])
 
 
-WORDS = st.one_of(
+WORD_STRATEGY = st.one_of(
     st.sampled_from([*DIRECTIVES, "include", "rate=1/s", "127.0.0.1:1", "5ms", "#", '"', "\\", "=", "on"]),
     st.text(max_size=8),
 )
 
 
-@how(derandomize=True, max_examples=150, deadline=None)
-@given(st.lists(st.lists(WORDS, max_size=5), max_size=8))
-def test_whatever_stands_in_a_file_it_is_read_or_its_mistakes_are_told(lines: list[list[str]]) -> None:
+@hypothesis_settings(derandomize=True, max_examples=150, deadline=None)
+@given(st.lists(st.lists(WORD_STRATEGY, max_size=5), max_size=8))
+def test_any_text_is_either_parsed_or_rejected_with_errors(lines: list[list[str]]) -> None:
     text = "\n".join(" ".join(line) for line in lines)
     try:
         settings = parse(text)
-    except s.SettingsFileError as bad:
-        assert bad.mistakes and all(m.strip() for m in bad.mistakes)
+    except settings_file.SettingsFileError as error:
+        assert error.errors and all(m.strip() for m in error.errors)
     else:
         assert settings.get("platform")  # all else that is needed is missing from these lines
 
 
-def test_the_examples_under_deploy_can_be_used() -> None:
-    make_config(FileSource(str(harness.ROOT / "deploy" / "opalgauge.conf")).read().told, {})
-    halls = make_config(FileSource(str(harness.ROOT / "deploy" / "three-halls.conf")).read().told, {})
-    assert halls.zones == ("hall-a", "hall-b", "hall-c") and halls.house.settings.cross_zone_price > 0
-    assert s.parse(harness.ROOT / "deploy" / "on-platform.conf").get("workers") == 2
+def test_the_example_files_are_valid() -> None:
+    make_config(FileSource(str(harness.ROOT / "deploy" / "opalgauge.conf")).read().platform_config, {})
+    three_halls = make_config(
+        FileSource(str(harness.ROOT / "deploy" / "three-halls.conf")).read().platform_config, {}
+    )
+    assert (
+        three_halls.zones == ("hall-a", "hall-b", "hall-c")
+        and three_halls.ingress.settings.cross_zone_price > 0
+    )
+    assert settings_file.parse(harness.ROOT / "deploy" / "on-platform.conf").get("workers") == 2
     with pytest.raises(ConfigError):
         FileSource(str(harness.ROOT / "deploy" / "none.conf")).read()
 
@@ -171,11 +205,15 @@
 def test_every_directive_stands_in_the_operators_page_with_whether_a_reload_changes_it() -> None:
     page = (harness.ROOT / "docs" / "operators" / "settings.md").read_text()
     rows = {r.split("`")[1]: r.split(" | ") for r in page.splitlines() if r.startswith(("| `", "| +`"))}
-    assert {n: rows[n][3] for n in rows} == {n: "yes" if d.live else "no" for n, d in DIRECTIVES.items()}
-    assert {n for n in rows if rows[n][0].startswith("| +")} == {n for n, d in DIRECTIVES.items() if d.trade}
+    assert {n: rows[n][3] for n in rows} == {
+        n: "yes" if d.reloadable else "no" for n, d in DIRECTIVES.items()
+    }
+    assert {n for n in rows if rows[n][0].startswith("| +")} == {
+        n for n, d in DIRECTIVES.items() if d.set_by_platform
+    }
 
 
-def test_check_tells_every_mistake_and_prints_what_would_hold() -> None:
+def test_check_prints_all_errors_or_the_effective_settings() -> None:
     def check(text: str) -> subprocess.CompletedProcess[str]:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "a.conf"
@@ -185,14 +223,14 @@
                 cwd=harness.ROOT, capture_output=True, text=True, timeout=120, check=False,
             )  # fmt: skip
 
-    bad = check("worker 4\nname\n")
-    assert bad.returncode == 1 and len(bad.stderr.splitlines()) == 2
-    good = check(GOOD)
-    assert good.returncode == 0 and "tariff negoce rate=1.5/s" in good.stdout
+    invalid = check("worker 4\nname\n")
+    assert invalid.returncode == 1 and len(invalid.stderr.splitlines()) == 2
+    valid = check(VALID_FILE)
+    assert valid.returncode == 0 and "tariff negoce rate=1.5/s" in valid.stdout
 
 
-def test_the_file_alone_serves_and_a_bad_one_never_ends_a_running_daemon() -> None:
-    async def scene() -> None:
+def test_an_invalid_reload_does_not_end_a_running_ingress() -> None:
+    async def scenario() -> None:
         async with (
             harness.party(lambda r, w: harness.OK) as (node, _),
             harness.party(lambda r, w: harness.OK) as (other, seen),
@@ -200,7 +238,7 @@
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "a.conf"
                 port = harness.free_port()
-                text = GOOD.replace("5000", str(port)).replace("127.0.0.1:7001", node)
+                text = VALID_FILE.replace("5000", str(port)).replace("127.0.0.1:7001", node)
                 path.write_text(text + "most-units 3\nlog json\ningresses 2\ncounter 127.0.0.1:1\n")
                 process = await asyncio.create_subprocess_exec(
                     sys.executable, "-m", "opalgauge.cli.main", "serve", "--settings", str(path),
@@ -216,16 +254,16 @@
                     assert (await ingress.ask("POST", "/place-order")).startswith(b"HTTP/1.1 200")
                     path.write_text("worker 4")
                     process.send_signal(signal.SIGHUP)
-                    told = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))["line"]
-                    assert "going on as before" in told and "unknown directive" in told
+                    log_line = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))["line"]
+                    assert "going on as before" in log_line and "unknown directive" in log_line
                     path.write_text(
                         text.replace(node, other) + "most-units 3\ningresses 2\ncounter 127.0.0.1:1\n"
                     )
                     process.send_signal(signal.SIGHUP)
-                    told = ""
-                    while "in force" not in told:
-                        told = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))["line"]
-                    assert told == "reload: in force: stock-node; after a restart only: log"
+                    log_line = ""
+                    while "in force" not in log_line:
+                        log_line = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))["line"]
+                    assert log_line == "reload: in force: stock-node; after a restart only: log"
                     assert (await ingress.ask("POST", "/place-order")).startswith(b"HTTP/1.1 200")
                     assert seen.requests
                     process.terminate()
@@ -235,10 +273,10 @@
                         process.kill()
                         await process.wait()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_serving_for_the_platform_loads_nothing_that_it_does_not_need() -> None:
+def test_a_platform_start_imports_no_optional_module() -> None:
     code = "import sys, opalgauge.__main__; print(*sorted(sys.modules))"
     loaded = subprocess.run(
         [sys.executable, "-c", code],
@@ -248,19 +286,28 @@
         check=True,
         timeout=120,
     ).stdout.split()
-    heavy = ("click", "structlog", "hdrh", "opalgauge.cli", "opalgauge.cores", "opalgauge.lifecycle.settings")
-    assert not [m for m in loaded if m.startswith(heavy)]
+    optional_modules = (
+        "click",
+        "structlog",
+        "hdrh",
+        "opalgauge.cli",
+        "opalgauge.cores",
+        "opalgauge.lifecycle.settings_file",
+    )
+    assert not [m for m in loaded if m.startswith(optional_modules)]
 
 
-def test_a_keyed_kind_and_a_price_for_crossing_sites_reach_the_decisions() -> None:
-    text = GOOD + "sites hall-a hall-b\nsite hall-b\ncross-site-price 0.02\n"
+def test_keyed_class_and_cross_site_price_reach_the_gateway_settings() -> None:
+    text = VALID_FILE + "sites hall-a hall-b\nsite hall-b\ncross-site-price 0.02\n"
     text += "kind add-order repeat=keyed window=3s among=site aim=1200ms deadline=5s worth=5\n"
-    config = make_config(s.as_told(parse(text)), {})
-    keyed, never = config.house.settings.classes[2], config.house.settings.classes[1]
+    config = make_config(settings_file.to_platform_config(parse(text)), {})
+    keyed, never = config.ingress.settings.classes[2], config.ingress.settings.classes[1]
     assert (keyed.idempotency, keyed.dedup_scope, keyed.dedup_window) == (
-        i.Idempotency.KEYED,
-        i.DedupScope.ZONE,
+        interface.Idempotency.KEYED,
+        interface.DedupScope.ZONE,
         3.0,
     )
-    assert never.idempotency is i.Idempotency.UNSAFE and config.house.settings.cross_zone_price == 0.02
-    assert config.house.settings.zone == 1 and config.trade.kinds["add-order"] == (2, "POST")
+    assert (
+        never.idempotency is interface.Idempotency.UNSAFE and config.ingress.settings.cross_zone_price == 0.02
+    )
+    assert config.ingress.settings.zone == 1 and config.trade.kinds["add-order"] == (2, "POST")
--- a/tests/test_three_halls.py
+++ b/tests/test_three_halls.py
@@ -16,12 +16,12 @@
 import pytest
 
 from opalgauge.lifecycle.config import make_config
-from opalgauge.lifecycle.settings import as_told, parse
+from opalgauge.lifecycle.settings_file import parse, to_platform_config
 from starlinggap import Gateway, interface
 from tests.gateway_rig import GatewayRig, entry
 
 SETTINGS_FILE = Path(__file__).parent.parent / "deploy" / "three-halls.conf"
-SETTINGS = make_config(as_told(parse(SETTINGS_FILE)), {}).house.settings
+SETTINGS = make_config(to_platform_config(parse(SETTINGS_FILE)), {}).ingress.settings
 VIEW, ORDER, ADD = range(3)
 RATE, BURST = SETTINGS.plans[0].rate, SETTINGS.plans[0].burst
 SERVERS = tuple(entry(n, zone=n % 3) for n in range(1, 10))
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -148,10 +148,10 @@
 
 def test_a_configuration_becomes_the_figures_of_the_house() -> None:
     config = make_config(told(), {})
-    assert config.house.settings.classes[1].idempotency is i.Idempotency.UNSAFE
-    assert config.house.server_idle_timeout < timedelta(seconds=15)
-    assert config.house.known_list_version == 41 and len(config.house.known_servers) == 1
-    assert config.house.max_server_connections + config.house.max_requests < 1024
+    assert config.ingress.settings.classes[1].idempotency is i.Idempotency.UNSAFE
+    assert config.ingress.server_idle_timeout < timedelta(seconds=15)
+    assert config.ingress.known_list_version == 41 and len(config.ingress.known_servers) == 1
+    assert config.ingress.max_server_connections + config.ingress.max_requests < 1024
     assert config.trade.kinds == {"stock-check": (0, "GET"), "place-order": (1, "POST")}
 
 
@@ -257,7 +257,7 @@
 def test_all_that_decisions_use_is_what_this_deployment_tells(d: dict[str, Any]) -> None:
     # Guards each deployment against the figures of another, and against defaults in place of what it says.
     config = make_config(told(settings=d), {})
-    s = config.house.settings
+    s = config.ingress.settings
     domain, ceilings, rules = d["domain"], d["ceilings"], d["invariants"]
     assert (s.gateways, s.gateway_index, s.zone, s.tick) == (d["balancers"], d["me"], d["zone"], d["tick"])
     assert [
@@ -293,7 +293,7 @@
     assert s.list_on_request is (d["discovery"] == "on_request")
     assert config.zones == tuple(d["zones"])
     assert s.idle_timeout < ceilings["conn_idle"]
-    assert config.house.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
+    assert config.ingress.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
     assert config.trade.kinds == {
         c["name"]: (n, "GET" if c["effect"] == "retryable" else "POST") for n, c in enumerate(d["classes"])
     }
