--- a/opalgauge/console/ban_file.py
+++ b/opalgauge/console/ban_file.py
@@ -11,7 +11,7 @@
 from opalgauge.console import bans
 from opalgauge.memory.effects import PersistBans
 from opalgauge.memory.events import BansReceived, BanStatus, Event
-from opalgauge.wire.node_list import node_number
+from opalgauge.wire.server_list import node_number
 
 NAME, LOCK, NEW = "opalgauge.marks", "opalgauge.marks.lock", "opalgauge.marks.new"
 
--- a/opalgauge/console/endpoint.py
+++ b/opalgauge/console/endpoint.py
@@ -13,7 +13,7 @@
 from opalgauge.memory.events import BanChangeRequested, Event
 from opalgauge.memory.state import StatusReport
 from opalgauge.wire.listener import Listener, bind
-from opalgauge.wire.node_list import node_number
+from opalgauge.wire.server_list import node_number
 
 BACKLOG = 64  # callers that wait to be accepted
 MOST_CALLERS = 12  # at once: the oldest silent one makes room for one more
--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -37,8 +37,8 @@
 from opalgauge.memory.reducer import Reducer
 from opalgauge.memory.state import IngressConfig
 from opalgauge.wire.clients import Clients, Front
-from opalgauge.wire.exchange import Exchange
-from opalgauge.wire.node_list import NodeListReader
+from opalgauge.wire.runtime import Exchange
+from opalgauge.wire.server_list import NodeListReader
 
 HEARTBEAT_INTERVAL = 0.02  # s between heartbeats
 LOAD_REPORT_INTERVAL = 0.5  # s between load reports
--- a/opalgauge/lab/bench_request.py
+++ b/opalgauge/lab/bench_request.py
@@ -24,9 +24,9 @@
 from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
 from opalgauge.memory.state import IngressConfig
-from opalgauge.wire import quota_counter, stock_nodes
+from opalgauge.wire import quota_counter, server_codec
 from opalgauge.wire.clients import Trade, read_order
-from opalgauge.wire.line import MOST_BODY, MOST_TOTAL, LineProtocol, Understand
+from opalgauge.wire.upstream import MOST_BODY, MOST_TOTAL, LineProtocol, Understand
 from starlinggap import Gateway, interface
 
 START = datetime(2026, 12, 1, 6, 0, tzinfo=UTC)
@@ -236,8 +236,8 @@
             lambda n: quota_counter.call_bytes(0x9E3779B97F4A7C15 ^ n, 1.0, ttl), COUNTER_ANSWER,
         ),
         "stock_node": _upstream_exchange(
-            loop, stock_nodes.understand_attempt, MOST_BODY,
-            lambda _: stock_nodes.attempt_bytes(_sample_request(), two_seconds), SERVER_ANSWER,
+            loop, server_codec.understand_attempt, MOST_BODY,
+            lambda _: server_codec.attempt_bytes(_sample_request(), two_seconds), SERVER_ANSWER,
         ),
         "reducer_and_decisions": ReducerDriver(loop).run,
         "decisions": GatewayDriver().run,
--- a/opalgauge/lifecycle/config.py
+++ b/opalgauge/lifecycle/config.py
@@ -13,7 +13,7 @@
 
 from opalgauge.memory.state import IngressConfig
 from opalgauge.wire.clients import Trade
-from opalgauge.wire.node_list import read_nodes
+from opalgauge.wire.server_list import read_nodes
 from starlinggap.benchlink import WireError, read_settings
 from starlinggap.brain import check_settings
 from starlinggap.interface import Settings, SettingsError
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -21,8 +21,8 @@
 from opalgauge.memory.events import DrainRequested, Event
 from opalgauge.memory.reducer import BANS_KEY, Reducer
 from opalgauge.wire.clients import Clients
-from opalgauge.wire.exchange import Exchange
-from opalgauge.wire.node_list import NodeListReader
+from opalgauge.wire.runtime import Exchange
+from opalgauge.wire.server_list import NodeListReader
 from starlinggap.snapshot import export_state
 
 if TYPE_CHECKING:
--- a/opalgauge/replica/channel.py
+++ b/opalgauge/replica/channel.py
@@ -13,8 +13,8 @@
 from opalgauge.replica.crdt import Parts, Register
 from opalgauge.replica.gossip import Gossip
 from opalgauge.replica.store import Change, Kind, Store
-from opalgauge.wire.node_list import node_number
 from opalgauge.wire.peers import Peers
+from opalgauge.wire.server_list import node_number
 
 ROUND = 0.05  # s between steps
 QUORUM = 2  # other ingresses that have ejected a stock node: one may be cut off from it
--- a/opalgauge/wire/clients.py
+++ b/opalgauge/wire/clients.py
@@ -29,9 +29,9 @@
     RequestReceived,
     StreamedAnswerEnded,
 )
-from opalgauge.wire.descriptors import has_ended, unread
-from opalgauge.wire.line import MOST_BODY, MOST_LONG
 from opalgauge.wire.listener import Listener, bind
+from opalgauge.wire.socket_state import has_ended, unread
+from opalgauge.wire.upstream import MOST_BODY, MOST_LONG
 
 BACKLOG = 512  # connections that wait to be accepted
 BODY_STALL = 2.2  # s: a client that sends nothing of its body for so long has stopped
--- a/opalgauge/wire/listener.py
+++ b/opalgauge/wire/listener.py
@@ -12,7 +12,7 @@
 import socket
 from collections.abc import Callable
 
-from opalgauge.wire.descriptors import bytes_age
+from opalgauge.wire.socket_state import bytes_age
 
 ACCEPTED_A_TURN = 64  # connections: others have their turn in between
 ABORTED_A_TURN = 16  # connections that their clients have given up before they were accepted
--- a/opalgauge/wire/quota_counter.py
+++ b/opalgauge/wire/quota_counter.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from opalgauge.memory.events import CounterAnswered
-from opalgauge.wire.line import Reply
+from opalgauge.wire.upstream import Reply
 from starlinggap.interface import End
 
 MOST_AMOUNT = 1e9
--- a/opalgauge/wire/exchange.py
+++ b/opalgauge/wire/runtime.py
@@ -23,11 +23,19 @@
     WakeUpDue,
 )
 from opalgauge.memory.reducer import Reducer
-from opalgauge.wire import quota_counter, stock_nodes
+from opalgauge.wire import quota_counter, server_codec
 from opalgauge.wire.clients import BODY_STALL, NODE_STALL, Clients
-from opalgauge.wire.line import MOST_BODY, MOST_LIST, MOST_LONG, MOST_TOTAL, LineProtocol, Reply, Understand
-from opalgauge.wire.node_list import NodeListReader, question_bytes
 from opalgauge.wire.recorder import Recorder
+from opalgauge.wire.server_list import NodeListReader, question_bytes
+from opalgauge.wire.upstream import (
+    MOST_BODY,
+    MOST_LIST,
+    MOST_LONG,
+    MOST_TOTAL,
+    LineProtocol,
+    Reply,
+    Understand,
+)
 
 MOST_FAULTS = 20  # log lines: a defect that shows at every order must not fill the disk
 
@@ -151,7 +159,7 @@
             understand, most = self.node_list.understand, MOST_LIST
         else:
             understand = self._understand_node
-            flows = stock_nodes.understand_flow if self.flows else None
+            flows = server_codec.understand_flow if self.flows else None
         line = LineProtocol(effect.connection_id, self.loop, self.report, understand, most, flows)
         self.lines[effect.connection_id] = line
         self.dials[effect.connection_id] = self.loop.create_task(self._dial(effect, line))
@@ -186,7 +194,7 @@
             self.report(AttemptWriteBlocked(effect.connection_id))
             self.report(ClientDisconnected(client))
             return
-        data = stock_nodes.attempt_bytes(effect.http_request, effect.time_left)
+        data = server_codec.attempt_bytes(effect.http_request, effect.time_left)
         if not effect.http_request.has_more_body:
             self._write(effect.connection_id, data)
             return
@@ -212,9 +220,9 @@
                     self.report(RequestBodyStalled(effect.request_id))
                     return
                 async with asyncio.timeout(NODE_STALL):
-                    await line.pour(stock_nodes.chunk(data) if chunked else data)
+                    await line.pour(server_codec.chunk(data) if chunked else data)
             if chunked:
-                await line.pour(stock_nodes.LAST_CHUNK)
+                await line.pour(server_codec.LAST_CHUNK)
             self.report(RequestBodyEnded(effect.request_id))
             line.poured()
         except TimeoutError:
@@ -231,13 +239,13 @@
 
     def _probe(self, effect: fx.SendProbe) -> None:
         self.probing.add(effect.connection_id)
-        self._write(effect.connection_id, stock_nodes.PROBE)
+        self._write(effect.connection_id, server_codec.PROBE)
 
     def _understand_node(self, line: int, reply: Reply) -> Event:
         if line in self.probing:
             self.probing.discard(line)
-            return stock_nodes.understand_probe(line, reply)
-        return stock_nodes.understand_attempt(line, reply)
+            return server_codec.understand_probe(line, reply)
+        return server_codec.understand_attempt(line, reply)
 
     # --- the rest ------------------------------------------------------------------------------------------
     def _answer(self, effect: fx.AnswerClient) -> None:
--- a/opalgauge/wire/stock_nodes.py
+++ b/opalgauge/wire/server_codec.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 
 from opalgauge.memory.events import HttpRequest, ServerAnswered, StreamedAnswerStarted
-from opalgauge.wire.line import Reply
+from opalgauge.wire.upstream import Reply
 from starlinggap.interface import End
 
 LOADS = {"latency_ms", "inflight", "util", "queue", "qps", "eps"}
--- a/opalgauge/wire/node_list.py
+++ b/opalgauge/wire/server_list.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from opalgauge.memory.events import ListedServer, ServerListAnswered
-from opalgauge.wire.line import Reply
+from opalgauge.wire.upstream import Reply
 from starlinggap.interface import Health, ListKind, ServerEntry
 
 HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.GONE}
--- a/opalgauge/wire/line.py
+++ b/opalgauge/wire/upstream.py
@@ -29,7 +29,7 @@
     Progress,
     StreamedAnswerReceived,
 )
-from opalgauge.wire.descriptors import shut, unread
+from opalgauge.wire.socket_state import shut, unread
 
 MOST_BODY = 64 * 1024  # bytes: a longer answer is not held, but passed on while it comes
 MOST_LONG = 40 * 1024 * 1024  # bytes: nor is any message longer
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -21,9 +21,9 @@
 from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
 from opalgauge.wire.clients import Clients, Trade
-from opalgauge.wire.exchange import Exchange
-from opalgauge.wire.line import LineProtocol
-from opalgauge.wire.node_list import NodeListReader, read_nodes
+from opalgauge.wire.runtime import Exchange
+from opalgauge.wire.server_list import NodeListReader, read_nodes
+from opalgauge.wire.upstream import LineProtocol
 from starlinggap import interface
 from tests import harness
 from tests.reducer_rig import SETTINGS, START, ingress_config
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -10,7 +10,7 @@
 import pytest
 
 from opalgauge.memory.events import AddressesChanged
-from opalgauge.wire.line import LineProtocol
+from opalgauge.wire.upstream import LineProtocol
 from tests.crossing import (
     MS,
     Scene,
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -10,8 +10,8 @@
 import pytest
 
 from opalgauge.memory import events as ev
-from opalgauge.wire import stock_nodes
-from opalgauge.wire.line import LineProtocol
+from opalgauge.wire import server_codec
+from opalgauge.wire.upstream import LineProtocol
 
 Scene = Callable[[LineProtocol, socket.socket, list[ev.Event]], Awaitable[None]]
 
@@ -21,7 +21,7 @@
         loop = asyncio.get_running_loop()
         ours, theirs = socket.socketpair()
         events: list[ev.Event] = []
-        line = LineProtocol(1, loop, events.append, stock_nodes.understand_attempt, 64 * 1024)
+        line = LineProtocol(1, loop, events.append, server_codec.understand_attempt, 64 * 1024)
         await loop.create_connection(lambda: line, sock=ours)
         assert events == [ev.ConnectionOpened(1)]
         events.clear()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -14,8 +14,8 @@
 from opalgauge.memory import events as ev
 from opalgauge.memory.reducer import Reducer
 from opalgauge.wire.clients import Clients, Trade
-from opalgauge.wire.exchange import Exchange
-from opalgauge.wire.node_list import NodeListReader
+from opalgauge.wire.runtime import Exchange
+from opalgauge.wire.server_list import NodeListReader
 from tests import harness
 from tests.reducer_rig import START, ingress_config
 
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -19,10 +19,10 @@
 
 from opalgauge.lifecycle.config import ConfigError, flatten, make_config
 from opalgauge.memory.events import HttpRequest
-from opalgauge.wire import quota_counter, stock_nodes
+from opalgauge.wire import quota_counter, server_codec
 from opalgauge.wire.clients import Trade, read_order
-from opalgauge.wire.line import Reply
-from opalgauge.wire.node_list import NodeListReader, node_number, question_bytes
+from opalgauge.wire.server_list import NodeListReader, node_number, question_bytes
+from opalgauge.wire.upstream import Reply
 from starlinggap import interface as i
 from tests.harness import ROOT, SETTINGS
 
@@ -40,7 +40,7 @@
 
 def test_an_attempt_states_its_time_and_changes_nothing_else() -> None:
     errand = HttpRequest("POST", "/place-order?a=%2F", "abc", (("Content-Type", "text/x"),), b"\x00\xff")
-    assert stock_nodes.attempt_bytes(errand, timedelta(milliseconds=480)) == (
+    assert server_codec.attempt_bytes(errand, timedelta(milliseconds=480)) == (
         b"POST /place-order?a=%2F HTTP/1.1\r\nHost: stock-node\r\nX-Correlation-Id: abc\r\n"
         b"X-Time-Left: 0.480\r\nContent-Type: text/x\r\nContent-Length: 2\r\n\r\n\x00\xff"
     )
@@ -54,7 +54,7 @@
     ],
 )  # fmt: skip
 def test_only_a_marked_answer_says_that_nothing_ran(status: int, unprocessed: str, end: i.End) -> None:
-    answered = stock_nodes.understand_attempt(1, reply(status, X_Unprocessed=unprocessed))
+    answered = server_codec.understand_attempt(1, reply(status, X_Unprocessed=unprocessed))
     assert answered.end is end
 
 
@@ -63,13 +63,13 @@
     [("3", 3.0), ("1.5", 1.5), ("", None), ("0", None), ("-2", None), ("nan", None), ("1e9", None)],
 )
 def test_a_node_says_what_a_request_took_and_nonsense_there_is_none(told: str, units: float | None) -> None:
-    assert stock_nodes.understand_attempt(1, reply(200, b"done", X_Cost_Units=told)).true_units == units
-    assert stock_nodes.understand_flow(1, reply(200, X_Cost_Units=told), 9).true_units == units
-    assert stock_nodes.understand_attempt(1, reply(500, X_Cost_Units=told)).true_units is None
+    assert server_codec.understand_attempt(1, reply(200, b"done", X_Cost_Units=told)).true_units == units
+    assert server_codec.understand_flow(1, reply(200, X_Cost_Units=told), 9).true_units == units
+    assert server_codec.understand_attempt(1, reply(500, X_Cost_Units=told)).true_units is None
 
 
 def test_load_reports_are_read_and_nonsense_in_them_left_out() -> None:
-    assert stock_nodes.load_report("inflight=7, util=0.61,latency_ms=x,=,new=3,qps=nan,eps=-1,queue=inf") == {
+    assert server_codec.load_report("inflight=7, util=0.61,latency_ms=x,=,new=3,qps=nan,eps=-1,queue=inf") == {
         "inflight": 7.0, "util": 0.61
     }  # fmt: skip
 
@@ -83,7 +83,7 @@
     ],
 )
 def test_probe_answers(status: int, body: bytes, end: i.End, load: dict[str, float]) -> None:
-    answered = stock_nodes.understand_probe(1, reply(status, body))
+    answered = server_codec.understand_probe(1, reply(status, body))
     assert (answered.end, answered.load) == (end, load)
 
 
@@ -179,7 +179,7 @@
         },
     )  # fmt: skip
     order = read_order(request, 1, 1, b"{}", trade)
-    sent = stock_nodes.attempt_bytes(order.http_request, timedelta(milliseconds=400))
+    sent = server_codec.attempt_bytes(order.http_request, timedelta(milliseconds=400))
     assert b"\r\nIdempotency-Key: 5c0f6e1a\r\n" in sent and sent.startswith(b"POST /place-order/7?x=1 ")
 
 
