--- a/opalgauge/console/ban_file.py
+++ b/opalgauge/console/ban_file.py
@@ -11,7 +11,7 @@
 from opalgauge.console import bans
 from opalgauge.memory.effects import PersistBans
 from opalgauge.memory.events import BansReceived, BanStatus, Event
-from opalgauge.wire.server_list import node_number
+from opalgauge.wire.server_list import server_id_for
 
 NAME, LOCK, NEW = "opalgauge.marks", "opalgauge.marks.lock", "opalgauge.marks.new"
 
@@ -46,7 +46,7 @@
         if told is None:
             self._complain("what is kept of them is no whole record, and is left")
             return ()
-        return tuple(BanStatus(name, node_number(name), out, at) for name, out, at in told)
+        return tuple(BanStatus(name, server_id_for(name), out, at) for name, out, at in told)
 
     def _complain(self, why: str) -> None:
         if not self.told:
--- a/opalgauge/console/endpoint.py
+++ b/opalgauge/console/endpoint.py
@@ -13,7 +13,7 @@
 from opalgauge.memory.events import BanChangeRequested, Event
 from opalgauge.memory.state import StatusReport
 from opalgauge.wire.listener import Listener, bind
-from opalgauge.wire.server_list import node_number
+from opalgauge.wire.server_list import server_id_for
 
 BACKLOG = 64  # callers that wait to be accepted
 MOST_CALLERS = 12  # at once: the oldest silent one makes room for one more
@@ -122,7 +122,7 @@
             case commands.Record():
                 caller.answer(commands.record(self.record()))
             case commands.Maint(name, out):
-                self.report(BanChangeRequested(caller.number, name, node_number(name), out))
+                self.report(BanChangeRequested(caller.number, name, server_id_for(name), out))
             case commands.Wrong(why):
                 caller.answer(commands.answer(False, why))
 
--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -36,9 +36,9 @@
 from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
 from opalgauge.memory.state import IngressConfig
-from opalgauge.wire.clients import Clients, Front
-from opalgauge.wire.runtime import Exchange
-from opalgauge.wire.server_list import NodeListReader
+from opalgauge.wire.clients import Clients, ClientServer
+from opalgauge.wire.runtime import Runtime
+from opalgauge.wire.server_list import ServerListReader
 
 HEARTBEAT_INTERVAL = 0.02  # s between heartbeats
 LOAD_REPORT_INTERVAL = 0.5  # s between load reports
@@ -94,7 +94,7 @@
         return result
 
 
-class WorkerFront(Front):
+class WorkerFront(ClientServer):
     """A front without a listener: the supervisor assigns its connections."""
 
     worker: Worker
@@ -125,10 +125,10 @@
         self.repeatable = [
             request_class.idempotency.value == "safe" for request_class in ingress_config.settings.classes
         ]
-        self.exchange = Exchange(
-            Reducer(ingress_config), self.now, NodeListReader(config.zones), self.log, self._on_drained
+        self.exchange = Runtime(
+            Reducer(ingress_config), self.now, ServerListReader(config.zones), self.log, self._on_drained
         )
-        self.exchange.do |= {
+        self.exchange.effect_handlers |= {
             effects.AnswerClient: self._answer,
             effects.SendAttempt: self._send_attempt,
             effects.DelegateRequest: self._delegate,
@@ -136,9 +136,9 @@
         }
         self.clients = Clients(config.trade, self._on_event, lambda: not self.draining, WorkerFront)
         # Long bodies are not streamed: they would have to pass between workers.
-        self.exchange.flows = self.clients.long = False
+        self.exchange.stream_bodies = self.clients.stream_bodies = False
         self.clients.server.worker = self  # type: ignore[attr-defined]
-        self.clients.over = self._on_request_over
+        self.clients.on_request_over = self._on_request_over
         self.exchange.clients = self.clients
         self.links: dict[int, messages.WorkerLink] = {}
         self.client_sockets: dict[RequestHandler, socket.socket] = {}
@@ -242,7 +242,7 @@
     def _send_attempt(self, effect: effects.SendAttempt) -> None:
         if record_key := self.record_keys.get(effect.request_id):
             self.table.record_attempt(*record_key)
-        self.exchange.send(effect)
+        self.exchange.send_attempt(effect)
 
     # --- requests between workers --------------------------------------------------------------------------
     def _delegate(self, effect: effects.DelegateRequest) -> None:
@@ -379,7 +379,7 @@
 
     def _drain(self) -> None:
         if not self.draining:
-            self.draining = self.clients.last = True
+            self.draining = self.clients.draining = True
             self.exchange.report(events.DrainRequested())
 
     def _on_drained(self) -> None:
@@ -397,7 +397,7 @@
         self.log("drain: the guardian is gone; answering what is held, then leaving")
         self._drain()
         self.exchange.report(events.CloseIdleRequested())
-        self.loop.call_later(self.exchange.time_to_kill().total_seconds(), self.finished.set)
+        self.loop.call_later(self.exchange.time_until_exit().total_seconds(), self.finished.set)
         if self.drained:
             self.finished.set()
 
@@ -440,16 +440,18 @@
     # --- life cycle ----------------------------------------------------------------------------------------
     async def run(self) -> None:
         """Serves until the supervisor asks it to leave, or has ended and nothing is owed any more."""
-        front_on_closed = self.clients._went
+        front_on_closed = self.clients._on_disconnected
 
         def on_closed(handler: RequestHandler) -> None:
             front_on_closed(handler)
             if isinstance(handler, WorkerRequestHandler):
                 self._on_connection_closed(handler.slot, handler)
 
-        self.clients.server.went = on_closed
+        self.clients.server.on_disconnected = on_closed
         self.loop.set_exception_handler(
-            lambda _, context: self.exchange.fault(f"{context.get('message')}: {context.get('exception')!r}")
+            lambda _, context: self.exchange.report_fault(
+                f"{context.get('message')}: {context.get('exception')!r}"
+            )
         )
         self.exchange.start()
         self.heartbeat()
@@ -457,7 +459,7 @@
         self.channel.send(messages.ReportReady(len(self.exchange.reducer.config.known_servers)))
         await self.finished.wait()
         await asyncio.sleep(LINGER.total_seconds())
-        await self.clients.close(self.exchange.time_to_kill().total_seconds())
+        await self.clients.close(self.exchange.time_until_exit().total_seconds())
 
 
 def read_settings(fd: int) -> dict[str, Any]:
--- a/opalgauge/handover/link.py
+++ b/opalgauge/handover/link.py
@@ -25,98 +25,100 @@
     SnapshotReceived,
 )
 
-NAME = "opalgauge.kin"
-PATIENCE = timedelta(milliseconds=500)  # a start waits no longer for what the old process knows
-MOST_CALLERS = 4
-MOST_UNSENT = 1 << 20  # bytes for a process that does not read: it is told no more
+SOCKET_NAME = "opalgauge.kin"
+HANDOVER_TIMEOUT = timedelta(milliseconds=500)  # a start waits no longer for what the old process knows
+MAX_CALLERS = 4
+MAX_UNSENT_BYTES = 1 << 20  # bytes for a process that does not read: it is told no more
 
 
-class Link:
+class HandoverLink:
     """One process's end of the link."""
 
     def __init__(
         self,
         folder: str,
-        memory: Callable[[], dict[str, Any]],
-        moment: Callable[[], record.Moment],
+        export_snapshot: Callable[[], dict[str, Any]],
+        read_clocks: Callable[[], record.ClockReading],
         log: Callable[[str], None],
-        who: record.Identity = record.NOBODY,
+        identity: record.Identity = record.UNKNOWN_IDENTITY,
     ) -> None:
-        self.who = who
-        self.path = Path(folder) / NAME
-        self.memory, self.moment, self.log = memory, moment, log
-        self.early: list[Event] = []  # what has happened before anybody could hear of it
-        self.report: Callable[[Event], None] = self.early.append
-        self.ahead = timedelta(0)  # the old process's clock less ours, once it has handed over
+        self.identity = identity
+        self.path = Path(folder) / SOCKET_NAME
+        self.export_snapshot, self.read_clocks, self.log = export_snapshot, read_clocks, log
+        self.early_events: list[Event] = []  # what has happened before anybody could hear of it
+        self.report: Callable[[Event], None] = self.early_events.append
+        self.clock_offset = timedelta(0)  # the old process's clock less ours, once it has handed over
         self.server: asyncio.Server | None = None
         self.callers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.link: asyncio.StreamWriter | None = None
+        self.predecessor: asyncio.StreamWriter | None = None
         self.serving = False  # this process
-        self.others_serving: set[asyncio.StreamWriter] = set()  # those at the other ends that have said so
+        self.serving_processes: set[asyncio.StreamWriter] = set()  # those at the other ends that have said so
 
     async def start(self) -> None:
         """Hears what an old process knows, if there is one; listens where there is none."""
-        told = None
+        received = None
         try:
-            async with asyncio.timeout(PATIENCE.total_seconds()):
-                reader, self.link = await asyncio.open_unix_connection(str(self.path), limit=messages.LONGEST)
+            async with asyncio.timeout(HANDOVER_TIMEOUT.total_seconds()):
+                reader, self.predecessor = await asyncio.open_unix_connection(
+                    str(self.path), limit=messages.MAX_MESSAGE_BYTES
+                )
                 self.report(ProcessCountChanged(2))
-                self.link.write(record.hello(self.who))
+                self.predecessor.write(record.encode_hello(self.identity))
                 head = await reader.readline()
-                if head == record.STRANGER:
-                    self._strangers()
+                if head == record.OTHER_INGRESS:
+                    self._leave_other_ingress()
                     return
-                told = await self._hear(head, reader)
+                received = await self._receive_snapshot(head, reader)
         except OSError:
-            if self.link is None:
+            if self.predecessor is None:
                 await self._listen()  # nobody is there, or one that died
                 return
         except (TimeoutError, ValueError, asyncio.IncompleteReadError):
             pass
-        if told is None:
+        if received is None:
             self.log("handover: the old process hands over nothing that can be used; starting from nothing")
         else:
-            self.ahead = told.ahead
-            self.report(SnapshotReceived(told.memory))
-        if self.link is None:
+            self.clock_offset = received.clock_offset
+            self.report(SnapshotReceived(received.snapshot))
+        if self.predecessor is None:
             return
-        self._run(self._until_alone(reader))
+        self._start_task(self._follow_predecessor(reader))
 
-    def go_on(self, report: Callable[[Event], None]) -> None:
+    def attach(self, report: Callable[[Event], None]) -> None:
         """Reports what has happened so far, and from now on all that does."""
-        early, self.early, self.report = self.early, [], report
-        for event in early:
+        early_events, self.early_events, self.report = self.early_events, [], report
+        for event in early_events:
             report(event)
 
-    def tell_serving(self, serving: bool) -> None:
+    def send_serving(self, serving: bool) -> None:
         """Whether this process accepts clients, and goes on doing so."""
         self.serving = serving
-        self._tell(messages.Serving(serving))
+        self._send(messages.Serving(serving))
 
-    def tell_bans(self, marks: tuple[BanStatus, ...]) -> None:
-        self._tell(messages.Bans(marks))
+    def send_bans(self, bans: tuple[BanStatus, ...]) -> None:
+        self._send(messages.Bans(bans))
 
-    def _tell(self, message: messages.Message) -> None:
+    def _send(self, message: messages.Message) -> None:
         """Tells the other process, if there is one that reads."""
-        line = messages.write(message)
-        if len(line) > messages.LONGEST:
+        line = messages.encode(message)
+        if len(line) > messages.MAX_MESSAGE_BYTES:
             return
-        for writer in (self.link, *self.callers):
+        for writer in (self.predecessor, *self.callers):
             if writer is not None:
                 self._write(writer, line)
 
     @staticmethod
     def _write(writer: asyncio.StreamWriter, line: bytes) -> None:
         """Guards against a process that has ended, where writing would raise, and one that does not read."""
-        if not writer.is_closing() and writer.transport.get_write_buffer_size() < MOST_UNSENT:
+        if not writer.is_closing() and writer.transport.get_write_buffer_size() < MAX_UNSENT_BYTES:
             writer.write(line)
 
-    def _strangers(self) -> None:
+    def _leave_other_ingress(self) -> None:
         """Another ingress has this folder, too. Its place there is left to it, and its part of the limits."""
-        assert self.link is not None
-        self.link.close()
-        self.link = None
+        assert self.predecessor is not None
+        self.predecessor.close()
+        self.predecessor = None
         self.report(ProcessCountChanged(1))
         self.log("handover: a process of another ingress is at this folder; nothing of it is used")
 
@@ -125,79 +127,81 @@
             task.cancel()
         if self.server is not None:
             self.server.close()
-        for writer in (self.link, *self.callers):
+        for writer in (self.predecessor, *self.callers):
             if writer is not None:
                 writer.close()
 
-    def _run(self, what: Any) -> None:
-        task = asyncio.get_running_loop().create_task(what)
+    def _start_task(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _hear(self, head: bytes, reader: asyncio.StreamReader) -> record.Handed | None:
-        size = record.length(head)
+    async def _receive_snapshot(
+        self, head: bytes, reader: asyncio.StreamReader
+    ) -> record.ReceivedSnapshot | None:
+        size = record.body_length(head)
         if size is None:
             return None
-        return record.read(head + await reader.readexactly(size), self.moment())
+        return record.decode(head + await reader.readexactly(size), self.read_clocks())
 
-    async def _until_alone(self, reader: asyncio.StreamReader) -> None:
-        assert self.link is not None
+    async def _follow_predecessor(self, reader: asyncio.StreamReader) -> None:
+        assert self.predecessor is not None
         with contextlib.suppress(OSError, ValueError):
-            await self._listen_to(reader, self.link)
-        self._other_serves(self.link, False)
-        self.link = None
+            await self._receive_messages(reader, self.predecessor)
+        self._set_other_serving(self.predecessor, False)
+        self.predecessor = None
         self.report(ProcessCountChanged(1))
         await self._listen()
 
-    def _other_serves(self, other: asyncio.StreamWriter, serves: bool) -> None:
-        before = bool(self.others_serving)
-        if serves:
-            self.others_serving.add(other)
+    def _set_other_serving(self, other: asyncio.StreamWriter, serving: bool) -> None:
+        was_serving = bool(self.serving_processes)
+        if serving:
+            self.serving_processes.add(other)
         else:
-            self.others_serving.discard(other)
-        if bool(self.others_serving) is not before:
-            self.report(OtherProcessAccepting(not before))
+            self.serving_processes.discard(other)
+        if bool(self.serving_processes) is not was_serving:
+            self.report(OtherProcessAccepting(not was_serving))
 
-    async def _listen_to(self, reader: asyncio.StreamReader, other: asyncio.StreamWriter) -> None:
+    async def _receive_messages(self, reader: asyncio.StreamReader, other: asyncio.StreamWriter) -> None:
         """Hears what the other process tells, until it ends."""
         while line := await reader.readline():
-            match messages.read(line):
-                case messages.Serving(serves):
-                    self._other_serves(other, serves)
-                case messages.Bans(marks):
-                    self.report(BansReceived(marks, persist=True))
+            match messages.decode(line):
+                case messages.Serving(serving):
+                    self._set_other_serving(other, serving)
+                case messages.Bans(bans):
+                    self.report(BansReceived(bans, persist=True))
 
     async def _listen(self) -> None:
         try:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self.path)  # a dead process's
             self.server = await asyncio.start_unix_server(
-                self._called, str(self.path), limit=messages.LONGEST
+                self._on_caller, str(self.path), limit=messages.MAX_MESSAGE_BYTES
             )
-        except OSError as bad:
-            self.log(f"handover: no successor can ask this process: {bad}")
+        except OSError as error:
+            self.log(f"handover: no successor can ask this process: {error}")
 
-    async def _called(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.callers) >= MOST_CALLERS:
+    async def _on_caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self.callers) >= MAX_CALLERS:
             writer.close()
             return
         self.callers.add(writer)
         try:
-            async with asyncio.timeout(PATIENCE.total_seconds()):
+            async with asyncio.timeout(HANDOVER_TIMEOUT.total_seconds()):
                 hello = await reader.readline()
-            answer = record.answer(hello, self.who, self.memory, self.moment())
-            writer.write(answer)
+            reply = record.answer_hello(hello, self.identity, self.export_snapshot, self.read_clocks())
+            writer.write(reply)
             await writer.drain()
-            if answer == record.STRANGER:
+            if reply == record.OTHER_INGRESS:
                 return
             self.report(ProcessCountChanged(2))
             if self.serving:
-                self._write(writer, messages.write(messages.Serving(True)))
-            await self._listen_to(reader, writer)
+                self._write(writer, messages.encode(messages.Serving(True)))
+            await self._receive_messages(reader, writer)
         except (OSError, TimeoutError, ValueError):
             pass  # it has gone, or says nothing
         finally:
-            self._other_serves(writer, False)
+            self._set_other_serving(writer, False)
             self.callers.discard(writer)
             writer.close()
             if not self.callers:
--- a/opalgauge/handover/messages.py
+++ b/opalgauge/handover/messages.py
@@ -11,7 +11,7 @@
 from opalgauge.memory.bans import InvalidBans, bans_from_plain, bans_to_plain
 from opalgauge.memory.events import BanStatus
 
-LONGEST = 1 << 20  # bytes of a line; what is longer is not told
+MAX_MESSAGE_BYTES = 1 << 20  # bytes of a line; what is longer is not told
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,28 +25,28 @@
 class Bans:
     """What staff have said of servers, as the sender knows it."""
 
-    marks: tuple[BanStatus, ...]
+    bans: tuple[BanStatus, ...]
 
 
 Message = Serving | Bans
 
 
-def write(message: Message) -> bytes:
+def encode(message: Message) -> bytes:
     match message:
         case Serving(serving):
-            told: dict[str, object] = {"serving": serving}
-        case Bans(marks):
-            told = {"bans": bans_to_plain(marks)}
-    return json.dumps(told, separators=(",", ":")).encode() + b"\n"
+            content: dict[str, object] = {"serving": serving}
+        case Bans(bans):
+            content = {"bans": bans_to_plain(bans)}
+    return json.dumps(content, separators=(",", ":")).encode() + b"\n"
 
 
-def read(line: bytes) -> Message | None:
+def decode(line: bytes) -> Message | None:
     try:
-        told = json.loads(line)
-        if not isinstance(told, dict):
+        content = json.loads(line)
+        if not isinstance(content, dict):
             return None
-        if isinstance(serving := told.get("serving"), bool):
+        if isinstance(serving := content.get("serving"), bool):
             return Serving(serving)
-        return Bans(bans_from_plain(told["bans"])) if "bans" in told else None
+        return Bans(bans_from_plain(content["bans"])) if "bans" in content else None
     except (InvalidBans, ValueError, RecursionError):
         return None
--- a/opalgauge/lab/bench_request.py
+++ b/opalgauge/lab/bench_request.py
@@ -25,8 +25,8 @@
 from opalgauge.memory.reducer import Reducer
 from opalgauge.memory.state import IngressConfig
 from opalgauge.wire import quota_counter, server_codec
-from opalgauge.wire.clients import Trade, read_order
-from opalgauge.wire.upstream import MOST_BODY, MOST_TOTAL, LineProtocol, Understand
+from opalgauge.wire.clients import RequestCatalog, parse_request
+from opalgauge.wire.upstream import MAX_BUFFERED_BODY, MAX_COUNTER_REPLY, ParseReply, UpstreamConnection
 from starlinggap import Gateway, interface
 
 START = datetime(2026, 12, 1, 6, 0, tzinfo=UTC)
@@ -35,7 +35,7 @@
     b"X-Tier: negoce\r\nCookie: customer=00000000000003ef\r\nX-Time-Left: 2.0\r\n"
     b"X-Call-Terms: units=1,spread=1,first=0\r\nContent-Length: 64\r\n\r\n" + b"x" * 64
 )
-REQUEST_RULES = Trade([("stock-check", True), ("place-order", False)], ["negoce"], 4.0, 1)
+REQUEST_RULES = RequestCatalog([("stock-check", True), ("place-order", False)], ["negoce"], 4.0, 1)
 SETTINGS = interface.Settings(
     classes=(
         interface.RequestClass(0.4, 1.2, 2.0),
@@ -81,7 +81,7 @@
     ssl_context = peername = sockname = None
 
 
-class SocketlessConnection(LineProtocol):
+class SocketlessConnection(UpstreamConnection):
     """An upstream connection that is never checked for being stale, as it has no socket."""
 
     def _stale(self) -> bool:
@@ -102,7 +102,7 @@
             request = web.BaseRequest(
                 message, payload, cast(Any, protocol), cast(Any, None), cast(Any, None), loop,
             )  # fmt: skip
-            read_order(request, number, 1, payload.read_nowait(-1), REQUEST_RULES)
+            parse_request(request, number, 1, payload.read_nowait(-1), REQUEST_RULES)
 
     return run
 
@@ -128,7 +128,7 @@
 
 def _upstream_exchange(
     loop: asyncio.AbstractEventLoop,
-    understand: Understand,
+    understand: ParseReply,
     max_body: int,
     encode: Callable[[int], bytes],
     answer: bytes,
@@ -232,12 +232,12 @@
         "http_in": _http_in(loop),
         "http_out": _http_out(loop),
         "counter": _upstream_exchange(
-            loop, quota_counter.understand_total, MOST_TOTAL,
-            lambda n: quota_counter.call_bytes(0x9E3779B97F4A7C15 ^ n, 1.0, ttl), COUNTER_ANSWER,
+            loop, quota_counter.parse_total, MAX_COUNTER_REPLY,
+            lambda n: quota_counter.encode_call(0x9E3779B97F4A7C15 ^ n, 1.0, ttl), COUNTER_ANSWER,
         ),
         "stock_node": _upstream_exchange(
-            loop, server_codec.understand_attempt, MOST_BODY,
-            lambda _: server_codec.attempt_bytes(_sample_request(), two_seconds), SERVER_ANSWER,
+            loop, server_codec.parse_attempt_reply, MAX_BUFFERED_BODY,
+            lambda _: server_codec.encode_attempt(_sample_request(), two_seconds), SERVER_ANSWER,
         ),
         "reducer_and_decisions": ReducerDriver(loop).run,
         "decisions": GatewayDriver().run,
--- a/opalgauge/leases/channel.py
+++ b/opalgauge/leases/channel.py
@@ -11,7 +11,7 @@
 from opalgauge.leases.holder import Leases, Rules
 from opalgauge.memory.effects import AskLeaseHolder, ReportAccount, ReportCounterResult
 from opalgauge.memory.events import CounterCallRequested, Event, LeaseHolderAnswered
-from opalgauge.wire.peers import Peers
+from opalgauge.wire.peers import PeerSocket
 
 ROUND = 0.02  # s between steps
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         rules: Rules,
-        wire: Peers,
+        wire: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
@@ -32,7 +32,7 @@
         self.wire, self.secret, self.report, self.now, self.log = wire, secret, report, now, log
         started = now()
         self.leases = Leases(rules, started, int(started.timestamp() * 1000), seed)
-        wire.takers[messages.VERSION] = self._came
+        wire.handlers[messages.VERSION] = self._came
         # Account, window, its end and units; heard where state is replicated.
         self.spent: Callable[[int, int, datetime, float], None] = lambda *_: None
         self.loop = asyncio.get_running_loop()
--- a/opalgauge/lifecycle/config.py
+++ b/opalgauge/lifecycle/config.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from opalgauge.memory.state import IngressConfig
-from opalgauge.wire.clients import Trade
-from opalgauge.wire.server_list import read_nodes
+from opalgauge.wire.clients import RequestCatalog
+from opalgauge.wire.server_list import parse_servers
 from starlinggap.benchlink import WireError, read_settings
 from starlinggap.brain import check_settings
 from starlinggap.interface import Settings, SettingsError
@@ -51,7 +51,7 @@
     name: str
     listen: tuple[str, int]
     house: IngressConfig
-    trade: Trade
+    trade: RequestCatalog
     zones: tuple[str, ...]
     kinds: tuple[str, ...] = ()
     console: tuple[str, int] | None = None  # where staff call; None: there is none such
@@ -138,7 +138,7 @@
                 told["discovery"] if told.get("discovery") is not None else environ["BALANCER_DISCOVERY"]
             ),
             known_list_version=int(known.get("seq", 0)),
-            known_servers=read_nodes(known.get("hosts", ()), zones),
+            known_servers=parse_servers(known.get("hosts", ()), zones),
             dial_timeout=timedelta(seconds=DIAL_SHARE * dial_timeout),
             server_idle_timeout=keeps,
             counter_timeout=timedelta(seconds=settings.counter_timeout),
@@ -153,7 +153,7 @@
             house = replace(
                 house, list_wait=LIST_ASKED, list_fleet_turn=turn, list_max_pause=LIST_LONGEST_PAUSE
             )
-        trade = Trade(
+        trade = RequestCatalog(
             [(str(c["name"]), c.get("effect") == "retryable") for c in told_settings["classes"]],
             [str(t["name"]) for t in told_settings["tiers_of_service"]],
             settings.max_units,
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -21,13 +21,13 @@
 from opalgauge.memory.events import DrainRequested, Event
 from opalgauge.memory.reducer import BANS_KEY, Reducer
 from opalgauge.wire.clients import Clients
-from opalgauge.wire.runtime import Exchange
-from opalgauge.wire.server_list import NodeListReader
+from opalgauge.wire.runtime import Runtime
+from opalgauge.wire.server_list import ServerListReader
 from starlinggap.snapshot import export_state
 
 if TYPE_CHECKING:
-    from opalgauge.handover.link import Link
-    from opalgauge.wire.peers import Peers
+    from opalgauge.handover.link import HandoverLink
+    from opalgauge.wire.peers import PeerSocket
 
 CLOCK_STEP = timedelta(milliseconds=250)  # two starts read the same wall clock closer than that
 MARKS_ROUND = timedelta(milliseconds=250)  # what one process was told holds at the other within 1 s
@@ -52,7 +52,9 @@
 class Joined:
     """What joins this ingress with the others: one datagram address, and the parts that speak over it."""
 
-    def __init__(self, wire: Peers, parts: list[Part], waits: Callable[[], Awaitable[None]] | None) -> None:
+    def __init__(
+        self, wire: PeerSocket, parts: list[Part], waits: Callable[[], Awaitable[None]] | None
+    ) -> None:
         self.wire, self.parts, self.waits = wire, parts, waits
 
     async def start(self, listen: tuple[str, int]) -> None:
@@ -75,12 +77,12 @@
         return [*lines, f"peers.words_sent={self.wire.sent}", f"peers.words_dropped={self.wire.dropped}"]
 
 
-def join(config: Config, peering: Peering, exchange: Exchange, clock: Clock, log: Log) -> Joined:
+def join(config: Config, peering: Peering, exchange: Runtime, clock: Clock, log: Log) -> Joined:
     """Puts the parts that need the other ingresses beside the reducer. None is loaded where it is off."""
-    from opalgauge.wire.peers import Peers
+    from opalgauge.wire.peers import PeerSocket
 
     s, seed = config.house.settings, config.house.seed
-    wire = Peers(peering.peers, asyncio.get_running_loop().time)
+    wire = PeerSocket(peering.peers, asyncio.get_running_loop().time)
     parts: list[Part] = []
     if peering.zones:
         from opalgauge.zones.channel import Channel as ZoneChannel
@@ -92,8 +94,8 @@
             config.zones, s.gateways, s.gateway_index, usual, cold, s.slow_start_share, peering.acts
         )
         judge = ZoneChannel(zones, wire, peering.secret, seed, exchange.report, clock.now, log)
-        exchange.do[fx.ReportAttempt] = judge.seen
-        exchange.do[fx.ReportServers] = judge.listed
+        exchange.effect_handlers[fx.ReportAttempt] = judge.seen
+        exchange.effect_handlers[fx.ReportServers] = judge.listed
         parts.append(judge)
     holder = None
     if config.house.uses_leases:
@@ -104,9 +106,9 @@
         ahead, grants = peering.leases in ("ahead", "on"), peering.leases == "on"
         leases = LeaseRules(s.gateway_index, s.gateways, plans, ahead, grants)
         holder = LeaseChannel(leases, wire, peering.secret, seed, exchange.report, clock.now, log)
-        exchange.do[fx.ReportAccount] = holder.met
-        exchange.do[fx.AskLeaseHolder] = holder.asked
-        exchange.do[fx.ReportCounterResult] = holder.counted
+        exchange.effect_handlers[fx.ReportAccount] = holder.met
+        exchange.effect_handlers[fx.AskLeaseHolder] = holder.asked
+        exchange.effect_handlers[fx.ReportCounterResult] = holder.counted
         parts.append(holder)
     waits = None
     if peering.replicate:
@@ -118,7 +120,7 @@
             s.gateway_index, s.gateways, wire, peering.secret, seed, exchange.report, clock.now,
             lambda: active_ejections(gateway, clock.now().timestamp()),
         )  # fmt: skip
-        exchange.do[fx.ReplicateBan] = copy.marked
+        exchange.effect_handlers[fx.ReplicateBan] = copy.marked
         if holder is not None:
             holder.spent, holder.leases.heard_of = copy.spent, copy.heard_of
         parts.append(copy)
@@ -126,14 +128,14 @@
     return Joined(wire, parts, waits)
 
 
-async def call_old_process(config: Config, exchange: Exchange, clock: Clock, log: Log) -> Link:
+async def call_old_process(config: Config, exchange: Runtime, clock: Clock, log: Log) -> HandoverLink:
     """The link to this ingress's other process, which has handed over what it knows, if there is one.
 
     Called before anything is decided: where the wall clock was stepped since the old process started, the new
     one goes on by the old one's time, which the other ingresses share and all that is handed over is told in.
     """
-    from opalgauge.handover.link import Link  # not loaded where no other process can be
-    from opalgauge.handover.record import Identity, Moment
+    from opalgauge.handover.link import HandoverLink  # not loaded where no other process can be
+    from opalgauge.handover.record import ClockReading, Identity
 
     reducer = exchange.reducer
 
@@ -141,22 +143,22 @@
         return {**export_state(reducer.gateway), BANS_KEY: reducer.bans_for_handover()}
 
     who = Identity.of(config.name, config.settings_told)
-    link = Link(config.scratch, memory, lambda: Moment(clock.now(), clock.steady()), log, who)
+    link = HandoverLink(config.scratch, memory, lambda: ClockReading(clock.now(), clock.steady()), log, who)
     await link.start()
-    if abs(link.ahead) >= CLOCK_STEP:
-        clock.shift(link.ahead)
-        seconds = link.ahead.total_seconds()
+    if abs(link.clock_offset) >= CLOCK_STEP:
+        clock.shift(link.clock_offset)
+        seconds = link.clock_offset.total_seconds()
         log(f"clock: stepped since the old process started; going on by its time ({seconds:+.1f} s)")
     return link
 
 
-def tell_and_keep(link: Link, ban_file: BanFile | None) -> Callable[[fx.PersistBans], None]:
+def tell_and_keep(link: HandoverLink, ban_file: BanFile | None) -> Callable[[fx.PersistBans], None]:
     """What staff say goes to the other process as well: guards a ban that cannot be written for now."""
 
     def keep(effect: fx.PersistBans) -> None:
         if ban_file is not None:
             ban_file.keep(effect)
-        link.tell_bans(effect.bans)
+        link.send_bans(effect.bans)
 
     return keep
 
@@ -165,22 +167,22 @@
     loop = asyncio.get_running_loop()
     over = asyncio.Event()
     clock = Clock()
-    exchange = Exchange(Reducer(config.house), clock.now, NodeListReader(config.zones), log, over.set)
+    exchange = Runtime(Reducer(config.house), clock.now, ServerListReader(config.zones), log, over.set)
     ready = draining = False
-    link: Link | None = None
+    link: HandoverLink | None = None
     clients = exchange.clients = Clients(config.trade, exchange.report, lambda: not draining)
     shared = config.listen_fd is not None  # another process may listen on it too
 
     def drain() -> None:
         nonlocal draining
         if not draining:
-            draining = clients.last = True
+            draining = clients.draining = True
             # A descriptor that others could listen on is no proof that one does.
             exchange.report(
                 DrainRequested(has_successor=shared and exchange.reducer.is_other_process_accepting())
             )
             if link is not None:
-                link.tell_serving(False)
+                link.send_serving(False)
 
     def reload() -> None:
         """The addresses of the other parties may change in service, nothing else does."""
@@ -194,7 +196,7 @@
 
     # Whatever escapes on a connection ends there, and is told in one line.
     loop.set_exception_handler(
-        lambda _, what: exchange.fault(f"{what.get('message')}: {what.get('exception')!r}")
+        lambda _, what: exchange.report_fault(f"{what.get('message')}: {what.get('exception')!r}")
     )
     loop.add_signal_handler(signal.SIGTERM, drain)
     loop.add_signal_handler(signal.SIGINT, drain)
@@ -202,14 +204,14 @@
     loop.add_signal_handler(signal.SIGUSR1, exchange.recorder.write, config.scratch, config.name, log)
     ban_file = BanFile(config.scratch, log) if config.console and config.scratch else None
     if ban_file is not None:
-        exchange.do[fx.PersistBans] = ban_file.keep
+        exchange.effect_handlers[fx.PersistBans] = ban_file.keep
     joined = join(config, config.peering, exchange, clock, log) if config.peering is not None else None
     if shared and config.scratch:
         link = await call_old_process(config, exchange, clock, log)
-        exchange.do[fx.PersistBans] = tell_and_keep(link, ban_file)
+        exchange.effect_handlers[fx.PersistBans] = tell_and_keep(link, ban_file)
     exchange.start()
     if link is not None:
-        link.go_on(exchange.report)
+        link.attach(exchange.report)
     async with admin_endpoint(
         config.console,
         kinds=config.kinds,
@@ -220,7 +222,7 @@
         record=exchange.recorder.lines,
     ) as opened:
         if opened is not None:
-            exchange.do[fx.AnswerStaff] = opened.answered
+            exchange.effect_handlers[fx.AnswerStaff] = opened.answered
         if ban_file is not None:
             watch_marks(loop, ban_file, exchange.report)
         if joined is not None and config.peering is not None:
@@ -229,7 +231,7 @@
             await clients.listen(*config.listen, config.listen_fd)
             ready = True
             if link is not None:
-                link.tell_serving(True)
+                link.send_serving(True)
             host, port = config.listen
             log(f"ready: {config.name} on {host}:{port}, {len(config.house.known_servers)} stock nodes known")
         await over.wait()
@@ -240,7 +242,7 @@
             link.close()
         if joined is not None:
             joined.close()
-        await clients.close(exchange.time_to_kill().total_seconds())
+        await clients.close(exchange.time_until_exit().total_seconds())
     log("drain: nothing owed any more; leaving")
 
 
--- a/opalgauge/replica/channel.py
+++ b/opalgauge/replica/channel.py
@@ -13,8 +13,8 @@
 from opalgauge.replica.crdt import Parts, Register
 from opalgauge.replica.gossip import Gossip
 from opalgauge.replica.store import Change, Kind, Store
-from opalgauge.wire.peers import Peers
-from opalgauge.wire.server_list import node_number
+from opalgauge.wire.peers import PeerSocket
+from opalgauge.wire.server_list import server_id_for
 
 ROUND = 0.05  # s between steps
 QUORUM = 2  # other ingresses that have ejected a stock node: one may be cut off from it
@@ -31,7 +31,7 @@
         self,
         me: int,
         ingresses: int,
-        wire: Peers,
+        wire: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
@@ -44,7 +44,7 @@
         self.gossip = Gossip(self.store, ingresses, started, seed)
         self.said: dict[str, float] = {}  # what this ingress has told of itself, and until when
         self.quorum = min(QUORUM, max(1, ingresses - 1))
-        wire.takers[messages.VERSION] = self._came
+        wire.handlers[messages.VERSION] = self._came
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
@@ -113,7 +113,7 @@
             kind, name = change.key
             if kind == Kind.BAN and isinstance(change.item, Register):
                 out, at = bool(change.item.value), when(change.item.stamp)
-                marks.append(BanStatus(name, node_number(name), out, at))
+                marks.append(BanStatus(name, server_id_for(name), out, at))
             elif kind == Kind.JUDGEMENT:
                 found += self._found(change)
         if marks:
--- a/opalgauge/wire/server_list.py
+++ b/opalgauge/wire/server_list.py
@@ -13,62 +13,68 @@
 from opalgauge.wire.upstream import Reply
 from starlinggap.interface import Health, ListKind, ServerEntry
 
-HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.GONE}
+HEALTH_BY_NAME = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.GONE}
 
-AWAY = (429, 503, 504)  # it has no turn to give just now
+UNAVAILABLE_STATUSES = (429, 503, 504)  # it has no turn to give just now
 
 
-def node_number(host: str) -> int:
+def server_id_for(host: str) -> int:
     """A stock node's number: alike on every ingress, whatever address it is reached at."""
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=6).digest(), "big")
 
 
-def question_bytes(since: int | None, wait: timedelta) -> bytes:
-    query = "" if since is None else f"?since={since}&timeout_ms={wait // timedelta(milliseconds=1)}"
+def encode_list_request(since_version: int | None, wait: timedelta) -> bytes:
+    query = (
+        ""
+        if since_version is None
+        else f"?since={since_version}&timeout_ms={wait // timedelta(milliseconds=1)}"
+    )
     return f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: node-list\r\n\r\n".encode("ascii")
 
 
-def finite(value: Any) -> float:
+def finite_float(value: Any) -> float:
     """A figure of a list; what is none, or has no end, makes the list unreadable."""
-    figure = float(value)
-    if not math.isfinite(figure):
+    number = float(value)
+    if not math.isfinite(number):
         raise ValueError("not a finite figure")
-    return figure
+    return number
 
 
-def read_nodes(lines: Sequence[Any], zones: Sequence[str]) -> tuple[ListedServer, ...]:
+def parse_servers(hosts: Sequence[Any], zones: Sequence[str]) -> tuple[ListedServer, ...]:
     """The stock nodes of a list; raises what an unreadable line raises."""
-    nodes = []
-    for line in lines:
-        site = str(line.get("site", ""))
+    servers = []
+    for host in hosts:
+        zone_name = str(host.get("site", ""))
         entry = ServerEntry(
-            node_number(str(line["host"])),
-            HEALTH[line["health"]],
-            zones.index(site) if site in zones else len(zones),
-            int(line.get("block", 0)),
-            finite(line.get("born_ms", 0)) / 1000.0,
-            finite(line.get("share", 1.0)),
+            server_id_for(str(host["host"])),
+            HEALTH_BY_NAME[host["health"]],
+            zones.index(zone_name) if zone_name in zones else len(zones),
+            int(host.get("block", 0)),
+            finite_float(host.get("born_ms", 0)) / 1000.0,
+            finite_float(host.get("share", 1.0)),
         )
-        nodes.append(ListedServer(str(line.get("dial", "")), entry))
-    return tuple(nodes)
+        servers.append(ListedServer(str(host.get("dial", "")), entry))
+    return tuple(servers)
 
 
-class NodeListReader:
+class ServerListReader:
     """Reads answers in the words of this deployment's zones."""
 
     def __init__(self, zones: Sequence[str]) -> None:
         self.zones = zones
 
-    def understand(self, line: int, reply: Reply) -> ServerListAnswered:
-        unread = ServerListAnswered(line, False)
-        if reply.status in AWAY:
-            return ServerListAnswered(line, False, refused=True)
+    def parse_reply(self, connection_id: int, reply: Reply) -> ServerListAnswered:
+        unreadable = ServerListAnswered(connection_id, False)
+        if reply.status in UNAVAILABLE_STATUSES:
+            return ServerListAnswered(connection_id, False, refused=True)
         if reply.status != 200:
-            return unread
+            return unreadable
         try:
-            told = json.loads(reply.body)
-            nodes = read_nodes(told["hosts"], self.zones)
-            kind = ListKind.COMPLETE if told["whole"] else ListKind.CHANGES
-            return ServerListAnswered(line, reply.keep, int(told["seq"]), kind, nodes)
+            content = json.loads(reply.body)
+            servers = parse_servers(content["hosts"], self.zones)
+            list_kind = ListKind.COMPLETE if content["whole"] else ListKind.CHANGES
+            return ServerListAnswered(
+                connection_id, reply.keep_alive, int(content["seq"]), list_kind, servers
+            )
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError):
-            return unread
+            return unreadable
--- a/opalgauge/zones/channel.py
+++ b/opalgauge/zones/channel.py
@@ -8,7 +8,7 @@
 
 from opalgauge.memory.effects import ReportAttempt, ReportServers
 from opalgauge.memory.events import Event, ZoneShareChanged
-from opalgauge.wire.peers import Peers
+from opalgauge.wire.peers import PeerSocket
 from opalgauge.zones import messages
 from opalgauge.zones.watch import Judged, Note, Rules, Say, Watch
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         rules: Rules,
-        wire: Peers,
+        wire: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
@@ -36,7 +36,7 @@
         started = now()
         life = int(started.timestamp() * 1000)
         self.watch = Watch(rules, started, life, seed)
-        wire.takers[messages.VERSION] = self._came
+        wire.handlers[messages.VERSION] = self._came
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -20,10 +20,10 @@
 
 from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
-from opalgauge.wire.clients import Clients, Trade
-from opalgauge.wire.runtime import Exchange
-from opalgauge.wire.server_list import NodeListReader, read_nodes
-from opalgauge.wire.upstream import LineProtocol
+from opalgauge.wire.clients import Clients, RequestCatalog
+from opalgauge.wire.runtime import Runtime
+from opalgauge.wire.server_list import ServerListReader, parse_servers
+from opalgauge.wire.upstream import UpstreamConnection
 from starlinggap import interface
 from tests import harness
 from tests.reducer_rig import SETTINGS, START, ingress_config
@@ -34,7 +34,7 @@
 )  # no counter: nothing stands between a request and its attempt
 
 
-class GatedExchange(Exchange):
+class GatedExchange(Runtime):
     """Dials as ever, once the gate is open."""
 
     def __init__(self, *more: Any) -> None:
@@ -42,13 +42,13 @@
         self.gate = asyncio.Event()
         self.gate.set()
 
-    async def _dial(self, effect: effects.OpenConnection, connection: LineProtocol) -> None:
+    async def _connect(self, effect: effects.OpenConnection, connection: UpstreamConnection) -> None:
         try:
             await self.gate.wait()
         except asyncio.CancelledError:
-            self.dials.pop(effect.connection_id, None)
+            self.connect_tasks.pop(effect.connection_id, None)
             raise
-        await super()._dial(effect, connection)
+        await super()._connect(effect, connection)
 
 
 @dataclass
@@ -175,14 +175,14 @@
     counter = await StandIn().start() if settings.use_counter else None
     if counter is not None:
         changes["counter_address"] = counter.address
-    reader = NodeListReader(())
+    reader = ServerListReader(())
     scenes: list[Scene] = []
     log: list[str] = []
 
     def leave() -> None:
         scenes[0].exited = True
 
-    known = read_nodes(
+    known = parse_servers(
         [{"host": f"s-{n}", "dial": p.address, "health": "in_service"} for n, p in enumerate(servers)], ()
     )
     reducer = Reducer(
@@ -193,7 +193,7 @@
     exchange = GatedExchange(reducer, lambda: scenes[0].now if scenes else START, reader, log.append, leave)
     class_names = [("stock-check", True), ("place-order", False)][: len(settings.classes)]
     clients = exchange.clients = Clients(
-        Trade(class_names, ["negoce"], 3.0, 2), exchange.report, lambda: True
+        RequestCatalog(class_names, ["negoce"], 3.0, 2), exchange.report, lambda: True
     )
     scenes.append(Scene(exchange, clients, servers, server_list, log, counter=counter))
     await clients.listen("127.0.0.1", 0)
@@ -203,8 +203,8 @@
     finally:
         exchange.gate.set()
         clients.stop_listening()
-        for connection in list(exchange.lines.values()):
-            connection.end()
+        for connection in list(exchange.connections.values()):
+            connection.close()
         await clients.server.shutdown(timeout=0.1)
         for stand_in in (*servers, server_list, *([counter] if counter is not None else ())):
             stand_in.close()
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -70,8 +70,13 @@
         and not state.attempts
     )
     assert not state.streams and not state.clients_sending_body and not state.clients_sending_head
-    assert not clients.waiting and not clients.bodies and not clients.reading and not clients.busy
-    assert not running.exchange.pours
+    assert (
+        not clients.pending
+        and not clients.streamed_bodies
+        and not clients.incomplete_bodies
+        and not clients.busy_connections
+    )
+    assert not running.exchange.body_tasks
     assert not [
         connection
         for connection in state.connections.values()
@@ -102,8 +107,10 @@
             await connection.read_request()
             connection.send(BROKEN_ANSWERS[place])
             if BROKEN_ANSWERS[place]:
-                (protocol,) = [li for li in running.exchange.lines.values() if li.flows is not None]
-                await wait_until(lambda: protocol.heard)
+                (protocol,) = [
+                    li for li in running.exchange.connections.values() if li.parse_stream_start is not None
+                ]
+                await wait_until(lambda: protocol.received)
             connection.reset()
             if idempotency == "safe":
                 _, again = await first_connection(running)
@@ -444,7 +451,7 @@
             writer.write(whole[:-rest])
             await wait_until(lambda: running.state.requests)
             writer.write(whole[-rest:])
-            (connection,) = running.clients.numbers
+            (connection,) = running.clients.client_ids
             await wait_until(
                 lambda: connection.transport is not None and not connection.transport.is_reading()
             )
@@ -479,7 +486,7 @@
                 writer.close()
             await wait_until(lambda: not running.state.requests)
             running.exchange.gate.set()
-            await wait_until(lambda: not running.clients.numbers)
+            await wait_until(lambda: not running.clients.client_ids)
             running.pass_time(100 * MS)
             assert running.state.statistics.attempts == 0
             assert_nothing_left(running)
@@ -497,7 +504,7 @@
             await connection.read_request()
             connection.send(ok_response(b"first"))
             assert (await first).endswith(b"first")
-            await wait_until(lambda: not running.clients.numbers)
+            await wait_until(lambda: not running.clients.client_ids)
             running.pass_time(30 * MS)  # its connection to the node can be used at once
             assert running.clients.listener is not None
             # All in one turn: the loop finds a request and its client's end.
@@ -506,7 +513,7 @@
             if end == "reset":
                 late.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             late.shutdown(socket.SHUT_WR) if end == "half" else late.close()
-            await wait_until(lambda: running.clients.connection == 2 and not running.clients.numbers)
+            await wait_until(lambda: running.clients.last_client_id == 2 and not running.clients.client_ids)
             assert running.state.statistics.attempts == 1 and not running.state.requests
             ended = asyncio.create_task(connection.reader.read())
             await asyncio.sleep(0)
@@ -528,18 +535,18 @@
                 flood.setblocking(False)
                 flood.send(b"".join(place_request(f"id-{n}-{m}") for m in range(60)))
                 floods.append(flood)
-            await wait_until(lambda: running.clients.connection == 20 and running.state.requests)
+            await wait_until(lambda: running.clients.last_client_id == 20 and running.state.requests)
             assert len(running.state.requests) <= 40
             for flood in floods:
                 flood.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 flood.close()
             # Whether an end is read before another's request in one turn of the loop is the system's order.
-            await wait_until(lambda: not running.clients.numbers)
+            await wait_until(lambda: not running.clients.client_ids)
             answer = await running.send_request(check_request("good").replace(b"b4d65521", b"00000001"))
             good = asyncio.create_task(_answer_with_correlation_id(running))
             assert (await answer).endswith(b"good")
             good.cancel()
-            await wait_until(lambda: not running.state.requests and not running.clients.numbers)
+            await wait_until(lambda: not running.state.requests and not running.clients.client_ids)
             assert_nothing_left(running)
 
     run_scene(scenario)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -67,7 +67,7 @@
 
 
 def start_drain(running: Scene) -> None:
-    running.clients.last = True
+    running.clients.draining = True
     running.exchange.report(DrainRequested())
     running.exchange.report(CloseIdleRequested())
 
@@ -190,7 +190,7 @@
     client.send(check_request("one"))
     connection = await running.servers[0].next_connection()
     await connection.read_request()
-    running.clients.last = True
+    running.clients.draining = True
     running.exchange.report(DrainRequested())
     connection.send(ok_response(BODY))
     await client.wait_for_data()
@@ -202,12 +202,12 @@
             client = Client(running, small_buffer=True)
             await start_last_answer(running, client)
             client.send(b"and more")
-            await wait_until(lambda: not running.clients.busy)
+            await wait_until(lambda: not running.clients.busy_connections)
             for _ in range(100):
                 await asyncio.sleep(0)
             client.send(b"and yet more")
             assert (await client.read_to_end()).endswith(BODY)
-            await wait_until(lambda: not running.clients.numbers)
+            await wait_until(lambda: not running.clients.client_ids)
 
     run_scene(scenario)
 
@@ -217,10 +217,10 @@
         async with scene() as running:
             client = Client(running, small_buffer=True)
             await start_last_answer(running, client)
-            ((connection, _),) = running.clients.numbers.items()
-            assert isinstance(connection, clients.Handler)
+            ((connection, _),) = running.clients.client_ids.items()
+            assert isinstance(connection, clients.ClientConnection)
             client.send(check_request("behind"))
-            await wait_until(lambda: connection.dropped)
+            await wait_until(lambda: connection.dropped_bytes)
             assert not connection._messages, "it is not even read as a request"
             assert (await client.read_to_end()).endswith(BODY)
             assert not running.state.requests and running.state.statistics.attempts == 1
@@ -246,22 +246,22 @@
             client.flood(data)
             answer = await client.read_to_end()
             assert answer[9:10] == b"4" and answer.count(b"HTTP/1.") == 1
-            await wait_until(lambda: not running.clients.numbers)
+            await wait_until(lambda: not running.clients.client_ids)
 
     run_scene(scenario)
 
 
 def test_a_client_that_floods_is_not_read_for_ever_and_not_kept_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "LINGER", 0.05)
+    monkeypatch.setattr(clients, "LINGER_TIME", 0.05)
 
     async def scenario() -> None:
         async with scene() as running:
             client = Client(running)
             client.send(b"no request at all\r\n\r\n")
             await client.wait_for_data()
-            ((connection, _),) = running.clients.numbers.items()
-            assert isinstance(connection, clients.Handler)
-            while running.clients.numbers:
+            ((connection, _),) = running.clients.client_ids.items()
+            assert isinstance(connection, clients.ClientConnection)
+            while running.clients.client_ids:
                 try:
                     client.socket.send(b"x" * 65_536)
                 except BlockingIOError:
@@ -269,8 +269,8 @@
                 except OSError:
                     break  # it has been ended
                 await asyncio.sleep(0)
-            await wait_until(lambda: not running.clients.numbers)
-            assert connection.dropped < clients.MOST_LINGER + 1024 * 1024
+            await wait_until(lambda: not running.clients.client_ids)
+            assert connection.dropped_bytes < clients.MAX_LINGER_BYTES + 1024 * 1024
             client.socket.close()
 
     run_scene(scenario)
@@ -280,8 +280,8 @@
     async def scenario() -> None:
         async with scene() as running:
             client = Client(running, small_buffer=True)
-            await wait_until(lambda: running.clients.numbers)
-            ((connection, _),) = running.clients.numbers.items()
+            await wait_until(lambda: running.clients.client_ids)
+            ((connection, _),) = running.clients.client_ids.items()
             assert connection.transport is not None
             held = connection.transport.get_extra_info("socket")
             held.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -304,8 +304,8 @@
             client.send(check_request("one"))
             connection = await running.servers[0].next_connection()
             await connection.read_request()
-            opened = [line.transport for line in running.exchange.lines.values()]
-            accepted = [connection.transport for connection in running.clients.numbers]
+            opened = [line.transport for line in running.exchange.connections.values()]
+            accepted = [connection.transport for connection in running.clients.client_ids]
             assert len(opened) >= 2 and len(accepted) == 1
             for transport in (*opened, *accepted):
                 assert transport is not None
--- a/tests/test_crossings_upstream.py
+++ b/tests/test_crossings_upstream.py
@@ -202,7 +202,10 @@
             await connection.read_request()
             connection.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
-            assert sum(len(p.all_connections) for p in running.servers) == 1 and not running.exchange.dials
+            assert (
+                sum(len(p.all_connections) for p in running.servers) == 1
+                and not running.exchange.connect_tasks
+            )
 
     run_scene(scenario)
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -10,7 +10,7 @@
 import pytest
 
 from opalgauge.memory.events import AddressesChanged
-from opalgauge.wire.upstream import LineProtocol
+from opalgauge.wire.upstream import UpstreamConnection
 from tests.crossing import (
     MS,
     Scene,
@@ -35,8 +35,8 @@
     return (await connection.read_request()).split(b" ")[1].decode()
 
 
-async def wait_for_drips(protocol: LineProtocol, count: int) -> None:
-    await wait_until(lambda: protocol.over or protocol.heard.endswith(b" " * count))
+async def wait_for_drips(protocol: UpstreamConnection, count: int) -> None:
+    await wait_until(lambda: protocol.closed or protocol.received.endswith(b" " * count))
 
 
 async def wait_until_closed(running: Scene, connection_id: int) -> None:
@@ -77,8 +77,10 @@
             heard = len(ANSWER_BEGINNINGS[beginning])
             list_connection.send(ANSWER_BEGINNINGS[beginning])
             if heard:
-                line = running.exchange.lines[running.state.list_connection_id]
-                await wait_until(lambda: len(line.heard) >= heard or line.halting or beginning == "only 1xx")
+                line = running.exchange.connections[running.state.list_connection_id]
+                await wait_until(
+                    lambda: len(line.received) >= heard or line.partial or beginning == "only 1xx"
+                )
             running.pass_time(timedelta(seconds=wait) + 500 * MS)
             running.pass_time(150 * MS)
             other, again = await next_list_request(running)
@@ -96,14 +98,14 @@
         async with scene() as running:
             list_connection, _ = await next_list_request(running)
             list_connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-            line = running.exchange.lines[running.state.list_connection_id]
+            line = running.exchange.connections[running.state.list_connection_id]
             for n in range(1, 30):
-                if running.state.list_connection_id != line.number or line.over:
+                if running.state.list_connection_id != line.connection_id or line.closed:
                     break
                 list_connection.send(b" ")
                 await wait_for_drips(line, n)
                 running.pass_time(60 * MS)
-            assert line.over and n < 25
+            assert line.closed and n < 25
             await next_list_request(running)
 
     run_scene(scenario)
@@ -265,8 +267,8 @@
             if state == "half a list":
                 body = json.dumps({"seq": 8, "whole": True, "hosts": [running.list_entry(0)]}).encode()
                 list_connection.send(ok_response(body)[:-5])
-                line = running.exchange.lines[running.state.list_connection_id]
-                await wait_until(lambda: line.heard)
+                line = running.exchange.connections[running.state.list_connection_id]
+                await wait_until(lambda: line.received)
             elif state == "down":
                 assert running.server_list.server is not None
                 running.server_list.server.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from opalgauge.handover import record
-from opalgauge.handover.link import NAME, Link
+from opalgauge.handover.link import SOCKET_NAME, HandoverLink
 from opalgauge.memory import effects as fx
 from opalgauge.memory import events as ev
 from starlinggap import interface as i
@@ -26,12 +26,12 @@
 from tests.gateway_rig import GatewayRig, settings
 from tests.reducer_rig import CHECK, START, ReducerRig
 
-AT = record.Moment(START, timedelta(hours=5))
+AT = record.ClockReading(START, timedelta(hours=5))
 
 
-def later(seconds: float) -> record.Moment:
+def later(seconds: float) -> record.ClockReading:
     span = timedelta(seconds=seconds)
-    return record.Moment(AT.now + span, AT.steady + span)
+    return record.ClockReading(AT.wall_clock + span, AT.monotonic + span)
 
 
 def test_a_process_with_a_successor_leaves_once_its_clients_have_their_last_answers() -> None:
@@ -127,34 +127,34 @@
 @given(st.integers(0, 400), st.binary(max_size=4))
 @hypothesis.settings(derandomize=True, max_examples=80)
 def test_a_record_that_is_torn_old_or_of_another_version_is_none(cut: int, noise: bytes) -> None:
-    whole = record.write({"a": [1.5, None]}, AT)
-    assert record.read(whole, later(4)) == record.Handed({"a": [1.5, None]}, timedelta(0))
-    assert record.read(whole, later(6)) is None
-    assert record.read(whole.replace(b"memory-1", b"memory-2"), AT) is None
+    whole = record.encode({"a": [1.5, None]}, AT)
+    assert record.decode(whole, later(4)) == record.ReceivedSnapshot({"a": [1.5, None]}, timedelta(0))
+    assert record.decode(whole, later(6)) is None
+    assert record.decode(whole.replace(b"memory-1", b"memory-2"), AT) is None
     spoilt = whole[:cut] + noise
-    assert spoilt == whole or record.read(spoilt, AT) is None
+    assert spoilt == whole or record.decode(spoilt, AT) is None
 
 
 @pytest.mark.parametrize("step", [3600, -3600, 20, -20])
 def test_a_record_is_as_old_as_it_is_whatever_the_wall_clock_says(step: int) -> None:
-    whole = record.write({"a": 1}, AT)
-    stepped = record.Moment(START + timedelta(seconds=3 + step), AT.steady + timedelta(seconds=3))
-    assert record.read(whole, stepped) == record.Handed({"a": 1}, timedelta(seconds=-step))
-    old = record.Moment(START + timedelta(seconds=6 + step), AT.steady + timedelta(seconds=6))
-    assert record.read(whole, old) is None
+    whole = record.encode({"a": 1}, AT)
+    stepped = record.ClockReading(START + timedelta(seconds=3 + step), AT.monotonic + timedelta(seconds=3))
+    assert record.decode(whole, stepped) == record.ReceivedSnapshot({"a": 1}, timedelta(seconds=-step))
+    old = record.ClockReading(START + timedelta(seconds=6 + step), AT.monotonic + timedelta(seconds=6))
+    assert record.decode(whole, old) is None
     # What the version before wrote tells no more than the wall clock does.
     body = b'{"a":1}'
     head = f"{record.TITLE} {len(body)} {(START - record.EPOCH) // record.MICROSECOND} "
     before = f"{head}{hashlib.sha256(body).hexdigest()}\n".encode() + body
-    assert record.read(before, AT) == record.Handed({"a": 1}, timedelta(0))
-    assert record.read(before, stepped) is None
+    assert record.decode(before, AT) == record.ReceivedSnapshot({"a": 1}, timedelta(0))
+    assert record.decode(before, stepped) is None
 
 
 def test_a_record_of_which_a_bit_has_turned_is_none_or_as_it_was() -> None:
-    whole = record.write({"a": [1.5, None]}, AT)
+    whole = record.encode({"a": [1.5, None]}, AT)
     for at in range(len(whole)):
         turned = whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :]
-        assert record.read(turned, AT) in (None, record.Handed({"a": [1.5, None]}, timedelta(0)))
+        assert record.decode(turned, AT) in (None, record.ReceivedSnapshot({"a": [1.5, None]}, timedelta(0)))
 
 
 def test_two_processes_share_one_part_of_a_ceiling() -> None:
@@ -171,9 +171,9 @@
         heard: dict[str, list[ev.Event]] = {"old": [], "new": [], "third": []}
         said: list[str] = []
 
-        def link(name: str) -> Link:
-            made = Link(str(tmp_path), lambda: {"from": name}, lambda: AT, said.append)
-            made.go_on(heard[name].append)
+        def link(name: str) -> HandoverLink:
+            made = HandoverLink(str(tmp_path), lambda: {"from": name}, lambda: AT, said.append)
+            made.attach(heard[name].append)
             return made
 
         async def until(name: str, event: ev.Event) -> None:
@@ -181,7 +181,7 @@
                 await asyncio.sleep(0.001)
 
         dead = socket.socket(socket.AF_UNIX)
-        dead.bind(str(tmp_path / NAME))
+        dead.bind(str(tmp_path / SOCKET_NAME))
         dead.close()  # a leftover: nobody listens there
         old, new, third = link("old"), link("new"), link("third")
         await old.start()
@@ -216,10 +216,10 @@
     async def scene() -> None:
         old_heard, new_heard, said = list[ev.Event](), list[ev.Event](), list[str]()
         mine = record.Identity.of("n0", {"classes": [1]})
-        old = Link(str(tmp_path), lambda: {"from": "old"}, lambda: AT, said.append, other)
-        old.go_on(old_heard.append)
-        new = Link(str(tmp_path), lambda: {"from": "new"}, lambda: AT, said.append, mine)
-        new.go_on(new_heard.append)
+        old = HandoverLink(str(tmp_path), lambda: {"from": "old"}, lambda: AT, said.append, other)
+        old.attach(old_heard.append)
+        new = HandoverLink(str(tmp_path), lambda: {"from": "new"}, lambda: AT, said.append, mine)
+        new.attach(new_heard.append)
         await old.start()
         await new.start()
         assert not [e for e in new_heard if isinstance(e, ev.SnapshotReceived)]
@@ -233,7 +233,7 @@
             while old.callers:
                 await asyncio.sleep(0)
             assert ev.ProcessCountChanged(2) not in old_heard
-            assert new.server is None and (tmp_path / NAME).exists(), "the other's place is left to it"
+            assert new.server is None and (tmp_path / SOCKET_NAME).exists(), "the other's place is left to it"
         new.close()
         old.close()
 
@@ -244,12 +244,15 @@
 @hypothesis.settings(derandomize=True, max_examples=80)
 def test_whatever_a_caller_says_first_is_answered_without_what_was_learned(said: bytes) -> None:
     mine = record.Identity.of("n0", {})
-    for hello in (said, record.hello(mine)[:-3] + said, said + record.hello(mine)):
-        if hello.removesuffix(b"\n") != record.hello(mine).removesuffix(b"\n"):
-            assert record.answer(hello, mine, lambda: {"a": 1}, AT) in (record.STRANGER, record.UNUSABLE)
+    for hello in (said, record.encode_hello(mine)[:-3] + said, said + record.encode_hello(mine)):
+        if hello.removesuffix(b"\n") != record.encode_hello(mine).removesuffix(b"\n"):
+            assert record.answer_hello(hello, mine, lambda: {"a": 1}, AT) in (
+                record.OTHER_INGRESS,
+                record.NO_SNAPSHOT,
+            )
 
 
-@pytest.mark.parametrize("said", [b"", record.write({"a": 1}, AT)[:-3], b"unknown\n", b"x" * 100_000])
+@pytest.mark.parametrize("said", [b"", record.encode({"a": 1}, AT)[:-3], b"unknown\n", b"x" * 100_000])
 def test_an_old_process_that_dies_in_the_middle_of_handing_over_is_left(said: bytes, tmp_path: Path) -> None:
     async def scene() -> None:
         async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -258,10 +261,10 @@
             writer.close()
             server.close()
 
-        server = await asyncio.start_unix_server(old, str(tmp_path / NAME))
+        server = await asyncio.start_unix_server(old, str(tmp_path / SOCKET_NAME))
         heard, told = list[ev.Event](), list[str]()
-        new = Link(str(tmp_path), lambda: {}, lambda: AT, told.append)
-        new.go_on(heard.append)
+        new = HandoverLink(str(tmp_path), lambda: {}, lambda: AT, told.append)
+        new.attach(heard.append)
         await new.start()
         while not heard or heard[-1] != ev.ProcessCountChanged(1) or new.server is None:
             await asyncio.sleep(0)
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -11,9 +11,9 @@
 
 from opalgauge.memory import events as ev
 from opalgauge.wire import server_codec
-from opalgauge.wire.upstream import LineProtocol
+from opalgauge.wire.upstream import UpstreamConnection
 
-Scene = Callable[[LineProtocol, socket.socket, list[ev.Event]], Awaitable[None]]
+Scene = Callable[[UpstreamConnection, socket.socket, list[ev.Event]], Awaitable[None]]
 
 
 def with_line(scene: Scene) -> None:
@@ -21,14 +21,14 @@
         loop = asyncio.get_running_loop()
         ours, theirs = socket.socketpair()
         events: list[ev.Event] = []
-        line = LineProtocol(1, loop, events.append, server_codec.understand_attempt, 64 * 1024)
+        line = UpstreamConnection(1, loop, events.append, server_codec.parse_attempt_reply, 64 * 1024)
         await loop.create_connection(lambda: line, sock=ours)
         assert events == [ev.ConnectionOpened(1)]
         events.clear()
         try:
             await scene(line, theirs, events)
         finally:
-            line.end()
+            line.close()
             theirs.close()
 
     asyncio.run(play())
@@ -40,8 +40,8 @@
 
 
 def test_an_end_is_seen_by_the_other_side_before_the_loop_turns() -> None:
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
-        line.end()
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
+        line.close()
         theirs.settimeout(5)
         assert theirs.recv(1) == b""  # no await since: a further attempt could not have been written yet
         await asyncio.sleep(0.01)
@@ -51,7 +51,7 @@
 
 
 def test_a_request_that_was_not_wholly_written_is_told_as_such() -> None:
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         line.send(b"x" * 50_000_000)  # far more than any socket buffer holds
         theirs.close()
         await until(events)
@@ -61,7 +61,7 @@
 
 
 def test_a_request_that_was_wholly_written_may_have_run() -> None:
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         line.send(b"GET / HTTP/1.1\r\n\r\n")
         theirs.recv(100)
         theirs.close()
@@ -72,7 +72,7 @@
 
 
 def test_an_answer_that_breaks_off_is_no_answer() -> None:
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         line.send(b"GET / HTTP/1.1\r\n\r\n")
         theirs.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
         await asyncio.sleep(0.01)
@@ -97,14 +97,14 @@
 def test_a_good_answer_counts_whatever_comes_behind_it_and_the_connection_does_not(
     behind: bytes, early: bytes
 ) -> None:
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         line.send(b"GET / HTTP/1.1\r\n\r\n")
         theirs.sendall(early + GOOD + behind)
         await until(events)
         answer = events.pop(0)
         assert isinstance(answer, ev.ServerAnswered)
         assert (answer.end.value, answer.body, answer.keep_alive) == ("ok", b"done", False)
-        assert line.over
+        assert line.closed
 
     with_line(scene)
 
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("answer", SPOILT.values(), ids=SPOILT.keys())
 def test_a_spoilt_answer_ends_the_connection_as_one_that_may_have_run(answer: bytes) -> None:
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         line.send(b"GET / HTTP/1.1\r\n\r\n")
         theirs.setblocking(False)
         with contextlib.suppress(OSError):  # the line may end before it has all
@@ -135,7 +135,7 @@
 
 
 def test_what_comes_unasked_ends_the_connection() -> None:
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         theirs.sendall(GOOD)
         await until(events)
         assert isinstance(events[0], ev.ConnectionLost)
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("unasked", [GOOD, b""], ids=["a second copy", "the end"])
 def test_what_came_unasked_is_seen_before_anything_is_written(unasked: bytes) -> None:
     # Guards the time between the other side's word and the loop's: no await lies between them here.
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         line.send(b"GET / HTTP/1.1\r\n\r\n")
         theirs.sendall(GOOD)
         await until(events)
@@ -164,7 +164,7 @@
 
 
 def test_answers_in_pieces_and_several_at_once_are_told_in_order() -> None:
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         one = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
         two = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         for _ in range(3):
@@ -185,11 +185,11 @@
 
 def test_a_line_that_is_collected_closes_no_descriptor_of_the_loops() -> None:
     # Guards other connections: a descriptor closed behind the loop's back is soon another connection's.
-    async def scene(line: LineProtocol, theirs: socket.socket, events: list[ev.Event]) -> None:
+    async def scene(line: UpstreamConnection, theirs: socket.socket, events: list[ev.Event]) -> None:
         line.send(b"GET / HTTP/1.1\r\n\r\n")
         theirs.sendall(GOOD)
         await until(events)
-        assert not line._stale()
+        assert not line._is_stale()
         kept = [v for v in vars(line).values() if isinstance(v, socket.socket)]
         assert not kept, "nothing of the loop's is held between looks"
 
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -10,7 +10,7 @@
 
 from opalgauge.memory import effects as fx
 from opalgauge.memory import events as ev
-from opalgauge.wire.recorder import KINDS, MOST, Recorder
+from opalgauge.wire.recorder import ENTRY_FORMATS, MAX_ENTRIES, Recorder
 from tests import harness
 from tests.crossing import run_scene, scene
 from tests.reducer_rig import PLACE, START, ReducerRig
@@ -21,7 +21,7 @@
     number = rig.admit(PLACE)
     rig.step(ev.ConnectionLost(rig.last_attempt().connection_id, ev.Progress.WRITTEN))
     for effect in rig.effects:
-        recorder.note(effect, START)
+        recorder.record(effect, START)
     lines = [line for line in recorder.lines() if f"request {number} " in line]
     assert f"request {number} sent over connection" in lines[0]
     assert f"request {number} answered 502: its attempts failed" in lines[1]
@@ -29,15 +29,15 @@
 
 def test_the_record_is_bounded() -> None:
     recorder = Recorder()
-    for n in range(MOST + 10):
-        recorder.note(ev.ClientConnected(n), START)
-    assert len(recorder.lines()) == MOST and recorder.lines()[0].endswith("client 10 connected")
+    for n in range(MAX_ENTRIES + 10):
+        recorder.record(ev.ClientConnected(n), START)
+    assert len(recorder.lines()) == MAX_ENTRIES and recorder.lines()[0].endswith("client 10 connected")
 
 
 def test_every_answer_and_close_says_why() -> None:
     with_a_reason = {kind for kind in vars(fx).values() if hasattr(kind, "__dataclass_fields__")}
     with_a_reason = {kind for kind in with_a_reason if "reason" in {f.name for f in fields(kind)}}
-    assert with_a_reason == {fx.AnswerClient, fx.CloseClient, fx.CloseConnection} <= set(KINDS)
+    assert with_a_reason == {fx.AnswerClient, fx.CloseClient, fx.CloseConnection} <= set(ENTRY_FORMATS)
     source = (Path(harness.ROOT) / "opalgauge/memory/reducer.py").read_text()
     assert "Reason.UNSPECIFIED" not in source
 
@@ -73,7 +73,7 @@
             raise OSError("cannot be written")
 
         async with scene() as here:
-            here.exchange.do[fx.Log] = fails
+            here.exchange.effect_handlers[fx.Log] = fails
             here.exchange.report(ev.DrainRequested(has_successor=True))  # logs, then accepts no more
             assert here.clients.listener is not None and here.clients.listener.acceptor.suspended
             assert here.log == ["fault: Log: OSError('cannot be written')"]
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -263,4 +263,4 @@
         3.0,
     )
     assert never.idempotency is i.Idempotency.UNSAFE and config.house.settings.cross_zone_price == 0.02
-    assert config.house.settings.zone == 1 and config.trade.kinds["add-order"] == (2, "POST")
+    assert config.house.settings.zone == 1 and config.trade.classes["add-order"] == (2, "POST")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -13,9 +13,9 @@
 from opalgauge.memory import effects as fx
 from opalgauge.memory import events as ev
 from opalgauge.memory.reducer import Reducer
-from opalgauge.wire.clients import Clients, Trade
-from opalgauge.wire.runtime import Exchange
-from opalgauge.wire.server_list import NodeListReader
+from opalgauge.wire.clients import Clients, RequestCatalog
+from opalgauge.wire.runtime import Runtime
+from opalgauge.wire.server_list import ServerListReader
 from tests import harness
 from tests.reducer_rig import START, ingress_config
 
@@ -173,7 +173,9 @@
     # Guards the turns of the loop between a request's last byte and its order: the reducer does not know yet.
     async def scene() -> None:
         seen: list[ev.Event] = []
-        clients = Clients(Trade([("stock-check", True)], ["negoce"], 3.0, 2), seen.append, lambda: True)
+        clients = Clients(
+            RequestCatalog([("stock-check", True)], ["negoce"], 3.0, 2), seen.append, lambda: True
+        )
         await clients.listen("127.0.0.1", 0)
         assert clients.listener is not None
         reader, writer = await asyncio.open_connection(*clients.listener.address)
@@ -181,7 +183,7 @@
             await asyncio.sleep(0)
         ((number, connection),) = clients.connections.items()
         connection.data_received(harness.request("GET", "/stock-check"))
-        end = clients.stop_listening if leaving else lambda: clients.dismiss(number)
+        end = clients.stop_listening if leaving else lambda: clients.close_if_idle(number)
         end()
         while not isinstance(seen[-1], ev.RequestReceived):
             await asyncio.sleep(0)
@@ -192,7 +194,7 @@
         assert (await harness.read_request(reader)).endswith(b"done")
         await closing
         await asyncio.sleep(0.01)
-        clients.dismiss(number)
+        clients.close_if_idle(number)
         assert await reader.read() == b""
         writer.close()
         clients.stop_listening()
@@ -302,8 +304,8 @@
 
     async def scene() -> None:
         told: list[str] = []
-        exchange = Exchange(
-            Broken(ingress_config()), lambda: START, NodeListReader(()), told.append, lambda: None
+        exchange = Runtime(
+            Broken(ingress_config()), lambda: START, ServerListReader(()), told.append, lambda: None
         )
         for _ in range(30):
             exchange.report(ev.ClientDisconnected(1))
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from opalgauge.handover import messages, record
-from opalgauge.handover.link import NAME, Link
+from opalgauge.handover.link import SOCKET_NAME, HandoverLink
 from opalgauge.memory import effects as fx
 from opalgauge.memory import events as ev
 from tests import harness
@@ -18,7 +18,7 @@
 from tests.reducer_rig import CHECK, START, ReducerRig
 
 STOPPED_ACCEPTING = b"no more connections, another process takes them"
-AT = record.Moment(START, START - START)
+AT = record.ClockReading(START, START - START)
 BAN = ev.BanStatus("s-1", 7, True, START)
 
 
@@ -75,8 +75,8 @@
         async with scene(3.0, successor=True) as (here, _):
             await here.connect("kept")
             # One that hangs behind its first line: it is there, and does not serve.
-            _, hanging = await asyncio.open_unix_connection(Path(here.parties[4]) / NAME)
-            hanging.write(record.hello(record.Identity.of("n0", "hangs")))
+            _, hanging = await asyncio.open_unix_connection(Path(here.parties[4]) / SOCKET_NAME)
+            hanging.write(record.encode_hello(record.Identity.of("n0", "hangs")))
             await has_recorded(here.ingress, b"2 processes of this ingress")
             stop = here.stop()
             await has_recorded(here.ingress, b"asked to stop, successor False")
@@ -139,9 +139,9 @@
     async def play() -> None:
         heard: dict[str, list[ev.Event]] = {"old": [], "new": [], "third": []}
 
-        def link(name: str) -> Link:
-            made = Link(str(tmp_path), dict, lambda: AT, lambda _: None)
-            made.go_on(heard[name].append)
+        def link(name: str) -> HandoverLink:
+            made = HandoverLink(str(tmp_path), dict, lambda: AT, lambda _: None)
+            made.attach(heard[name].append)
             return made
 
         async def until(name: str, event: ev.Event) -> None:
@@ -152,17 +152,17 @@
 
         old, new, third = link("old"), link("new"), link("third")
         await old.start()
-        old.tell_serving(True)
+        old.send_serving(True)
         await new.start()
         await until("new", ev.OtherProcessAccepting(True))
         assert ev.OtherProcessAccepting(True) not in heard["old"], "it is not ready"
-        new.tell_serving(True)
+        new.send_serving(True)
         await until("old", ev.OtherProcessAccepting(True))
-        new.tell_bans((BAN,))
+        new.send_bans((BAN,))
         await until("old", ev.BansReceived((BAN,), persist=True))
         await third.start()
-        third.tell_serving(True)
-        new.tell_serving(False)
+        third.send_serving(True)
+        new.send_serving(False)
         third.close()
         await until("old", ev.OtherProcessAccepting(False))
         old.close()
@@ -181,16 +181,16 @@
             writer.close()
             gone.set()
 
-        async with await asyncio.start_unix_server(old, str(tmp_path / NAME)) as server:
-            new = Link(str(tmp_path), dict, lambda: AT, lambda _: None)
+        async with await asyncio.start_unix_server(old, str(tmp_path / SOCKET_NAME)) as server:
+            new = HandoverLink(str(tmp_path), dict, lambda: AT, lambda _: None)
             await new.start()
             await gone.wait()
-            assert new.link is not None
-            new.link.transport.abort()
-            new.tell_serving(True)
+            assert new.predecessor is not None
+            new.predecessor.transport.abort()
+            new.send_serving(True)
             for _ in range(3):
                 await asyncio.sleep(0)
-                new.tell_bans((BAN,))
+                new.send_bans((BAN,))
             new.close()
             server.close()
 
@@ -201,7 +201,7 @@
     "line", [b"", b"{", b"[]\n", b'{"serving":1}\n', b'{"bans":[[1]]}\n', b'{"later":{}}\n', b"[" * 100_000]
 )
 def test_a_line_of_another_version_is_passed_over(line: bytes) -> None:
-    assert messages.read(line) is None
+    assert messages.decode(line) is None
 
 
 def test_what_is_told_is_read_back() -> None:
@@ -211,4 +211,4 @@
         messages.Bans((BAN,)),
         messages.Bans(()),
     ):
-        assert messages.read(messages.write(message)) == message
+        assert messages.decode(messages.encode(message)) == message
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -20,8 +20,8 @@
 from opalgauge.lifecycle.config import ConfigError, flatten, make_config
 from opalgauge.memory.events import HttpRequest
 from opalgauge.wire import quota_counter, server_codec
-from opalgauge.wire.clients import Trade, read_order
-from opalgauge.wire.server_list import NodeListReader, node_number, question_bytes
+from opalgauge.wire.clients import RequestCatalog, parse_request
+from opalgauge.wire.server_list import ServerListReader, encode_list_request, server_id_for
 from opalgauge.wire.upstream import Reply
 from starlinggap import interface as i
 from tests.harness import ROOT, SETTINGS
@@ -40,7 +40,7 @@
 
 def test_an_attempt_states_its_time_and_changes_nothing_else() -> None:
     errand = HttpRequest("POST", "/place-order?a=%2F", "abc", (("Content-Type", "text/x"),), b"\x00\xff")
-    assert server_codec.attempt_bytes(errand, timedelta(milliseconds=480)) == (
+    assert server_codec.encode_attempt(errand, timedelta(milliseconds=480)) == (
         b"POST /place-order?a=%2F HTTP/1.1\r\nHost: stock-node\r\nX-Correlation-Id: abc\r\n"
         b"X-Time-Left: 0.480\r\nContent-Type: text/x\r\nContent-Length: 2\r\n\r\n\x00\xff"
     )
@@ -54,7 +54,7 @@
     ],
 )  # fmt: skip
 def test_only_a_marked_answer_says_that_nothing_ran(status: int, unprocessed: str, end: i.End) -> None:
-    answered = server_codec.understand_attempt(1, reply(status, X_Unprocessed=unprocessed))
+    answered = server_codec.parse_attempt_reply(1, reply(status, X_Unprocessed=unprocessed))
     assert answered.end is end
 
 
@@ -63,15 +63,15 @@
     [("3", 3.0), ("1.5", 1.5), ("", None), ("0", None), ("-2", None), ("nan", None), ("1e9", None)],
 )
 def test_a_node_says_what_a_request_took_and_nonsense_there_is_none(told: str, units: float | None) -> None:
-    assert server_codec.understand_attempt(1, reply(200, b"done", X_Cost_Units=told)).true_units == units
-    assert server_codec.understand_flow(1, reply(200, X_Cost_Units=told), 9).true_units == units
-    assert server_codec.understand_attempt(1, reply(500, X_Cost_Units=told)).true_units is None
+    assert server_codec.parse_attempt_reply(1, reply(200, b"done", X_Cost_Units=told)).true_units == units
+    assert server_codec.parse_stream_start(1, reply(200, X_Cost_Units=told), 9).true_units == units
+    assert server_codec.parse_attempt_reply(1, reply(500, X_Cost_Units=told)).true_units is None
 
 
 def test_load_reports_are_read_and_nonsense_in_them_left_out() -> None:
-    assert server_codec.load_report("inflight=7, util=0.61,latency_ms=x,=,new=3,qps=nan,eps=-1,queue=inf") == {
-        "inflight": 7.0, "util": 0.61
-    }  # fmt: skip
+    assert server_codec.parse_load_report(
+        "inflight=7, util=0.61,latency_ms=x,=,new=3,qps=nan,eps=-1,queue=inf"
+    ) == {"inflight": 7.0, "util": 0.61}
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
     ],
 )
 def test_probe_answers(status: int, body: bytes, end: i.End, load: dict[str, float]) -> None:
-    answered = server_codec.understand_probe(1, reply(status, body))
+    answered = server_codec.parse_probe_reply(1, reply(status, body))
     assert (answered.end, answered.load) == (end, load)
 
 
@@ -92,7 +92,7 @@
     [(2.0, "2"), (-2.5, "-2.5"), (0.0, "0"), (1e-9, "0"), (1 / 3, "0.333333"), (1e12, "1000000000")],
 )
 def test_counter_calls_are_plain_decimals_within_bounds(amount: float, by: str) -> None:
-    line = quota_counter.call_bytes(0xAB, amount, timedelta(hours=1)).split(b"\r\n")[0].decode()
+    line = quota_counter.encode_call(0xAB, amount, timedelta(hours=1)).split(b"\r\n")[0].decode()
     assert line == f"POST /counters/ab?by={by}&expire_ms=60000 HTTP/1.1"
 
 
@@ -106,23 +106,25 @@
     ],
 )  # fmt: skip
 def test_counter_answers(answer: Reply, end: i.End, total: float) -> None:
-    told = quota_counter.understand_total(1, answer)
+    told = quota_counter.parse_total(1, answer)
     assert (told.end, told.total) == (end, total)
     # Where it cannot be read the connection is of no further use, whatever its headers say.
     assert told.keep_alive is (end is not i.End.ERROR)
 
 
 def test_the_node_list_is_read_in_the_deployments_words() -> None:
-    reader = NodeListReader(("bat-a", "bat-b"))
-    told = reader.understand(1, reply(200, json.dumps({"seq": 43, "whole": False, "hosts": [HOST]}).encode()))
+    reader = ServerListReader(("bat-a", "bat-b"))
+    told = reader.parse_reply(
+        1, reply(200, json.dumps({"seq": 43, "whole": False, "hosts": [HOST]}).encode())
+    )
     assert (told.version, told.list_kind) == (43, i.ListKind.CHANGES)
     assert told.servers is not None
     assert told.servers[0].address == "127.0.0.9:5000"
     assert told.servers[0].entry == i.ServerEntry(
-        node_number("s-5be2a07c"), i.Health.DRAINING, zone=1, cell=3, started=1.5, weight=1.5
+        server_id_for("s-5be2a07c"), i.Health.DRAINING, zone=1, cell=3, started=1.5, weight=1.5
     )
-    assert node_number("s-5be2a07c") != node_number("s-5be2a07d")
-    assert question_bytes(43, timedelta(seconds=20)).startswith(
+    assert server_id_for("s-5be2a07c") != server_id_for("s-5be2a07d")
+    assert encode_list_request(43, timedelta(seconds=20)).startswith(
         b"GET /v1/endpoints?since=43&timeout_ms=20000 HTTP/1.1\r\n"
     )
 
@@ -132,7 +134,7 @@
     [b"{}", b'{"seq":1,"whole":true,"hosts":[7]}', b'{"seq":1,"whole":true,"hosts":[{}]}', b"\xff"],
 )
 def test_an_unreadable_node_list_is_said_to_be_so(body: bytes) -> None:
-    assert NodeListReader(()).understand(1, reply(200, body)).servers is None
+    assert ServerListReader(()).parse_reply(1, reply(200, body)).servers is None
 
 
 def test_settings_flatten_to_the_lines_that_the_module_reads() -> None:
@@ -152,7 +154,7 @@
     assert config.house.server_idle_timeout < timedelta(seconds=15)
     assert config.house.known_list_version == 41 and len(config.house.known_servers) == 1
     assert config.house.max_server_connections + config.house.max_requests < 1024
-    assert config.trade.kinds == {"stock-check": (0, "GET"), "place-order": (1, "POST")}
+    assert config.trade.classes == {"stock-check": (0, "GET"), "place-order": (1, "POST")}
 
 
 @pytest.mark.parametrize(
@@ -170,7 +172,7 @@
 
 
 def test_a_keyed_order_reaches_the_stock_node_with_its_key() -> None:
-    trade = Trade([("view-sub", True), ("place-order", False)], ["starter"], 6.0, 3)
+    trade = RequestCatalog([("view-sub", True), ("place-order", False)], ["starter"], 6.0, 3)
     request = make_mocked_request(
         "POST", "/place-order/7?x=1",
         headers={
@@ -178,8 +180,8 @@
             "X-Time-Left": "0.480", "Idempotency-Key": "5c0f6e1a", "X-Call-Terms": "units=2,spread=3,first=1",
         },
     )  # fmt: skip
-    order = read_order(request, 1, 1, b"{}", trade)
-    sent = server_codec.attempt_bytes(order.http_request, timedelta(milliseconds=400))
+    order = parse_request(request, 1, 1, b"{}", trade)
+    sent = server_codec.encode_attempt(order.http_request, timedelta(milliseconds=400))
     assert b"\r\nIdempotency-Key: 5c0f6e1a\r\n" in sent and sent.startswith(b"POST /place-order/7?x=1 ")
 
 
@@ -294,8 +296,8 @@
     assert config.zones == tuple(d["zones"])
     assert s.idle_timeout < ceilings["conn_idle"]
     assert config.house.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
-    assert config.trade.kinds == {
+    assert config.trade.classes == {
         c["name"]: (n, "GET" if c["effect"] == "retryable" else "POST") for n, c in enumerate(d["classes"])
     }
-    assert config.trade.tariffs == {p["name"]: n for n, p in enumerate(d["tiers_of_service"])}
-    assert (config.trade.most_units, config.trade.ingresses) == (domain["units_top"], d["balancers"])
+    assert config.trade.plans == {p["name"]: n for n, p in enumerate(d["tiers_of_service"])}
+    assert (config.trade.max_units, config.trade.ingress_count) == (domain["units_top"], d["balancers"])
