--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -94,8 +94,8 @@
         return result
 
 
-class WorkerFront(ClientServer):
-    """A front without a listener: the supervisor assigns its connections."""
+class WorkerClientServer(ClientServer):
+    """A client server without a listener: the supervisor assigns its connections."""
 
     worker: Worker
 
@@ -125,21 +125,21 @@
         self.repeatable = [
             request_class.idempotency.value == "safe" for request_class in ingress_config.settings.classes
         ]
-        self.exchange = Runtime(
+        self.runtime = Runtime(
             Reducer(ingress_config), self.now, ServerListReader(config.zones), self.log, self._on_drained
         )
-        self.exchange.effect_handlers |= {
+        self.runtime.effect_handlers |= {
             effects.AnswerClient: self._answer,
             effects.SendAttempt: self._send_attempt,
             effects.DelegateRequest: self._delegate,
             effects.WithdrawRequest: self._withdraw,
         }
-        self.clients = Clients(config.trade, self._on_event, lambda: not self.draining, WorkerFront)
+        self.clients = Clients(config.trade, self._on_event, lambda: not self.draining, WorkerClientServer)
         # Long bodies are not streamed: they would have to pass between workers.
-        self.exchange.stream_bodies = self.clients.stream_bodies = False
+        self.runtime.stream_bodies = self.clients.stream_bodies = False
         self.clients.server.worker = self  # type: ignore[attr-defined]
         self.clients.on_request_over = self._on_request_over
-        self.exchange.clients = self.clients
+        self.runtime.clients = self.clients
         self.links: dict[int, messages.WorkerLink] = {}
         self.client_sockets: dict[RequestHandler, socket.socket] = {}
         self.sequences: dict[int, int] = {}  # by slot: sequence of the last request
@@ -193,12 +193,12 @@
     # --- requests of clients -------------------------------------------------------------------------------
     def _on_event(self, event: events.Event) -> None:
         if type(event) is not events.RequestReceived:
-            self.exchange.report(event)
+            self.runtime.report(event)
             return
         handler = self.clients.connections.get(event.client_id)
         entry = self.table.claim_id(self.number, id_hash(event.http_request.correlation_id))
         if entry is None or not isinstance(handler, WorkerRequestHandler):
-            self.exchange.report(events.DuplicateRequestId(event.request_id, event.client_id))
+            self.runtime.report(events.DuplicateRequestId(event.request_id, event.client_id))
             return
         self.claimed_ids[event.request_id] = entry
         slot = handler.slot
@@ -221,10 +221,10 @@
         if owner == self.number:
             self.record_keys[event.request_id] = slot, sequence
             self._set_account_share(event)
-            self.exchange.report(event)
+            self.runtime.report(event)
         else:
             self.delegated[event.request_id] = owner, slot, sequence
-            self.exchange.report(events.RequestDelegated(event, owner))
+            self.runtime.report(events.RequestDelegated(event, owner))
 
     def _set_account_share(self, event: events.RequestReceived) -> None:
         now = self.clock.now()
@@ -242,7 +242,7 @@
     def _send_attempt(self, effect: effects.SendAttempt) -> None:
         if record_key := self.record_keys.get(effect.request_id):
             self.table.record_attempt(*record_key)
-        self.exchange.send_attempt(effect)
+        self.runtime.send_attempt(effect)
 
     # --- requests between workers --------------------------------------------------------------------------
     def _delegate(self, effect: effects.DelegateRequest) -> None:
@@ -250,7 +250,7 @@
         delegated = self.delegated.get(received.request_id)
         link = self.links.get(effect.worker)
         if delegated is None or link is None:
-            self.exchange.report(events.WorkerLost(effect.worker, frozenset()))
+            self.runtime.report(events.WorkerLost(effect.worker, frozenset()))
             return
         deadline_ns = time.monotonic_ns() + received.time_left // timedelta(microseconds=1) * 1000
         link.send(
@@ -272,7 +272,7 @@
             self._on_delegated_request(link, message)
         elif isinstance(message, messages.DelegatedAnswer):
             retry = timedelta(milliseconds=message.retry_ms) if message.retry_ms >= 0 else None
-            self.exchange.report(
+            self.runtime.report(
                 events.DelegatedRequestAnswered(
                     message.request_id, message.status, message.body, message.content_type, retry
                 )
@@ -281,7 +281,7 @@
             number = self.remote_numbers.get((link.worker, link.generation, message.request_id))
             if number is not None:
                 self._remove_remote(number)
-                self.exchange.report(events.ClientDisconnected(number))
+                self.runtime.report(events.ClientDisconnected(number))
 
     def _on_delegated_request(self, link: messages.WorkerLink, message: messages.DelegateRequest) -> None:
         self.remote_count += 1
@@ -300,7 +300,7 @@
             message.is_retry, number,
         )  # fmt: skip
         self._set_account_share(event)
-        self.exchange.report(event)
+        self.runtime.report(event)
 
     def _remove_remote(self, number: int) -> tuple[messages.WorkerLink, int] | None:
         self.record_keys.pop(number, None)
@@ -331,7 +331,7 @@
             self.recent_answers.setdefault(link.worker, deque(maxlen=MAX_RECENT_ANSWERS)).append(orphan)
         else:
             self.channel.send(orphan)
-        self.exchange.report(events.ClientDisconnected(effect.request_id))
+        self.runtime.report(events.ClientDisconnected(effect.request_id))
 
     def _on_link_lost(self, link: messages.WorkerLink) -> None:
         """Another worker is lost. What it decided for this one is settled here; what this one decides for it
@@ -349,7 +349,7 @@
             if self.table.connection_record(slot).attempted == sequence
         )
         if delegated:
-            self.exchange.report(events.WorkerLost(link.worker, attempted))
+            self.runtime.report(events.WorkerLost(link.worker, attempted))
         held = [
             self.record_keys[number]
             for number, (origin, _) in self.remote_requests.items()
@@ -369,18 +369,18 @@
             membership = Membership(message.version, tuple(message.members), message.split, message.initial)
             self.ownership.apply(membership, self.clock.now())
         elif isinstance(message, messages.Reload) and fd is not None:
-            readdress(self.exchange.report, make_config(read_settings(fd), message.environ))
+            readdress(self.runtime.report, make_config(read_settings(fd), message.environ))
         elif isinstance(message, messages.Drain):
             self._drain()
         elif isinstance(message, messages.AcceptingStopped):
-            self.exchange.report(events.CloseIdleRequested())
+            self.runtime.report(events.CloseIdleRequested())
         elif isinstance(message, messages.Leave):
             self.finished.set()
 
     def _drain(self) -> None:
         if not self.draining:
             self.draining = self.clients.draining = True
-            self.exchange.report(events.DrainRequested())
+            self.runtime.report(events.DrainRequested())
 
     def _on_drained(self) -> None:
         self.drained = True
@@ -396,8 +396,8 @@
         self.supervisor_lost = True
         self.log("drain: the guardian is gone; answering what is held, then leaving")
         self._drain()
-        self.exchange.report(events.CloseIdleRequested())
-        self.loop.call_later(self.exchange.time_until_exit().total_seconds(), self.finished.set)
+        self.runtime.report(events.CloseIdleRequested())
+        self.loop.call_later(self.runtime.time_until_exit().total_seconds(), self.finished.set)
         if self.drained:
             self.finished.set()
 
@@ -440,26 +440,26 @@
     # --- life cycle ----------------------------------------------------------------------------------------
     async def run(self) -> None:
         """Serves until the supervisor asks it to leave, or has ended and nothing is owed any more."""
-        front_on_closed = self.clients._on_disconnected
+        server_on_closed = self.clients._on_disconnected
 
         def on_closed(handler: RequestHandler) -> None:
-            front_on_closed(handler)
+            server_on_closed(handler)
             if isinstance(handler, WorkerRequestHandler):
                 self._on_connection_closed(handler.slot, handler)
 
         self.clients.server.on_disconnected = on_closed
         self.loop.set_exception_handler(
-            lambda _, context: self.exchange.report_fault(
+            lambda _, context: self.runtime.report_fault(
                 f"{context.get('message')}: {context.get('exception')!r}"
             )
         )
-        self.exchange.start()
+        self.runtime.start()
         self.heartbeat()
         self.report_load()
-        self.channel.send(messages.ReportReady(len(self.exchange.reducer.config.known_servers)))
+        self.channel.send(messages.ReportReady(len(self.runtime.reducer.config.known_servers)))
         await self.finished.wait()
         await asyncio.sleep(LINGER.total_seconds())
-        await self.clients.close(self.exchange.time_until_exit().total_seconds())
+        await self.clients.close(self.runtime.time_until_exit().total_seconds())
 
 
 def read_settings(fd: int) -> dict[str, Any]:
--- a/opalgauge/lab/bench_request.py
+++ b/opalgauge/lab/bench_request.py
@@ -128,13 +128,13 @@
 
 def _upstream_exchange(
     loop: asyncio.AbstractEventLoop,
-    understand: ParseReply,
+    parse_reply: ParseReply,
     max_body: int,
     encode: Callable[[int], bytes],
     answer: bytes,
 ) -> Callable[[int], None]:
     """Writes a request and parses its answer, over one connection that is kept."""
-    connection = SocketlessConnection(1, loop, lambda _: None, understand, max_body)
+    connection = SocketlessConnection(1, loop, lambda _: None, parse_reply, max_body)
     connection.connection_made(NullTransport())
 
     def run(count: int) -> None:
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -77,7 +77,7 @@
         return [*lines, f"peers.words_sent={self.wire.sent}", f"peers.words_dropped={self.wire.dropped}"]
 
 
-def join(config: Config, peering: Peering, exchange: Runtime, clock: Clock, log: Log) -> Joined:
+def join(config: Config, peering: Peering, runtime: Runtime, clock: Clock, log: Log) -> Joined:
     """Puts the parts that need the other ingresses beside the reducer. None is loaded where it is off."""
     from opalgauge.wire.peers import PeerSocket
 
@@ -93,9 +93,9 @@
         zones = ZoneRules(
             config.zones, s.gateways, s.gateway_index, usual, cold, s.slow_start_share, peering.acts
         )
-        judge = ZoneChannel(zones, wire, peering.secret, seed, exchange.report, clock.now, log)
-        exchange.effect_handlers[fx.ReportAttempt] = judge.seen
-        exchange.effect_handlers[fx.ReportServers] = judge.listed
+        judge = ZoneChannel(zones, wire, peering.secret, seed, runtime.report, clock.now, log)
+        runtime.effect_handlers[fx.ReportAttempt] = judge.seen
+        runtime.effect_handlers[fx.ReportServers] = judge.listed
         parts.append(judge)
     holder = None
     if config.house.uses_leases:
@@ -105,22 +105,22 @@
         plans = tuple((p.rate, p.burst) for p in s.plans)
         ahead, grants = peering.leases in ("ahead", "on"), peering.leases == "on"
         leases = LeaseRules(s.gateway_index, s.gateways, plans, ahead, grants)
-        holder = LeaseChannel(leases, wire, peering.secret, seed, exchange.report, clock.now, log)
-        exchange.effect_handlers[fx.ReportAccount] = holder.met
-        exchange.effect_handlers[fx.AskLeaseHolder] = holder.asked
-        exchange.effect_handlers[fx.ReportCounterResult] = holder.counted
+        holder = LeaseChannel(leases, wire, peering.secret, seed, runtime.report, clock.now, log)
+        runtime.effect_handlers[fx.ReportAccount] = holder.met
+        runtime.effect_handlers[fx.AskLeaseHolder] = holder.asked
+        runtime.effect_handlers[fx.ReportCounterResult] = holder.counted
         parts.append(holder)
     waits = None
     if peering.replicate:
         from opalgauge.replica.channel import Channel as ReplicaChannel
         from starlinggap.snapshot import active_ejections
 
-        gateway = exchange.reducer.gateway
+        gateway = runtime.reducer.gateway
         copy = ReplicaChannel(
-            s.gateway_index, s.gateways, wire, peering.secret, seed, exchange.report, clock.now,
+            s.gateway_index, s.gateways, wire, peering.secret, seed, runtime.report, clock.now,
             lambda: active_ejections(gateway, clock.now().timestamp()),
         )  # fmt: skip
-        exchange.effect_handlers[fx.ReplicateBan] = copy.marked
+        runtime.effect_handlers[fx.ReplicateBan] = copy.marked
         if holder is not None:
             holder.spent, holder.leases.heard_of = copy.spent, copy.heard_of
         parts.append(copy)
@@ -128,7 +128,7 @@
     return Joined(wire, parts, waits)
 
 
-async def call_old_process(config: Config, exchange: Runtime, clock: Clock, log: Log) -> HandoverLink:
+async def call_old_process(config: Config, runtime: Runtime, clock: Clock, log: Log) -> HandoverLink:
     """The link to this ingress's other process, which has handed over what it knows, if there is one.
 
     Called before anything is decided: where the wall clock was stepped since the old process started, the new
@@ -137,7 +137,7 @@
     from opalgauge.handover.link import HandoverLink  # not loaded where no other process can be
     from opalgauge.handover.record import ClockReading, Identity
 
-    reducer = exchange.reducer
+    reducer = runtime.reducer
 
     def memory() -> dict[str, Any]:
         return {**export_state(reducer.gateway), BANS_KEY: reducer.bans_for_handover()}
@@ -167,10 +167,10 @@
     loop = asyncio.get_running_loop()
     over = asyncio.Event()
     clock = Clock()
-    exchange = Runtime(Reducer(config.house), clock.now, ServerListReader(config.zones), log, over.set)
+    runtime = Runtime(Reducer(config.house), clock.now, ServerListReader(config.zones), log, over.set)
     ready = draining = False
     link: HandoverLink | None = None
-    clients = exchange.clients = Clients(config.trade, exchange.report, lambda: not draining)
+    clients = runtime.clients = Clients(config.trade, runtime.report, lambda: not draining)
     shared = config.listen_fd is not None  # another process may listen on it too
 
     def drain() -> None:
@@ -178,8 +178,8 @@
         if not draining:
             draining = clients.draining = True
             # A descriptor that others could listen on is no proof that one does.
-            exchange.report(
-                DrainRequested(has_successor=shared and exchange.reducer.is_other_process_accepting())
+            runtime.report(
+                DrainRequested(has_successor=shared and runtime.reducer.is_other_process_accepting())
             )
             if link is not None:
                 link.send_serving(False)
@@ -188,7 +188,7 @@
         """The addresses of the other parties may change in service, nothing else does."""
 
         def take(reading: Reading) -> None:
-            readdress(exchange.report, make_config(reading.told, reading.environ))
+            readdress(runtime.report, make_config(reading.told, reading.environ))
             if reading.changed:
                 log(f"reload: {reading.changed}")
 
@@ -196,35 +196,35 @@
 
     # Whatever escapes on a connection ends there, and is told in one line.
     loop.set_exception_handler(
-        lambda _, what: exchange.report_fault(f"{what.get('message')}: {what.get('exception')!r}")
+        lambda _, what: runtime.report_fault(f"{what.get('message')}: {what.get('exception')!r}")
     )
     loop.add_signal_handler(signal.SIGTERM, drain)
     loop.add_signal_handler(signal.SIGINT, drain)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    loop.add_signal_handler(signal.SIGUSR1, exchange.recorder.write, config.scratch, config.name, log)
+    loop.add_signal_handler(signal.SIGUSR1, runtime.recorder.write, config.scratch, config.name, log)
     ban_file = BanFile(config.scratch, log) if config.console and config.scratch else None
     if ban_file is not None:
-        exchange.effect_handlers[fx.PersistBans] = ban_file.keep
-    joined = join(config, config.peering, exchange, clock, log) if config.peering is not None else None
+        runtime.effect_handlers[fx.PersistBans] = ban_file.keep
+    joined = join(config, config.peering, runtime, clock, log) if config.peering is not None else None
     if shared and config.scratch:
-        link = await call_old_process(config, exchange, clock, log)
-        exchange.effect_handlers[fx.PersistBans] = tell_and_keep(link, ban_file)
-    exchange.start()
+        link = await call_old_process(config, runtime, clock, log)
+        runtime.effect_handlers[fx.PersistBans] = tell_and_keep(link, ban_file)
+    runtime.start()
     if link is not None:
-        link.attach(exchange.report)
+        link.attach(runtime.report)
     async with admin_endpoint(
         config.console,
         kinds=config.kinds,
-        figures=exchange.reducer.status_report,
-        report=exchange.report,
+        figures=runtime.reducer.status_report,
+        report=runtime.report,
         refusal=lambda: "draining" if draining else "" if ready else "starting",
         more=joined.figures if joined is not None else None,
-        record=exchange.recorder.lines,
+        record=runtime.recorder.lines,
     ) as opened:
         if opened is not None:
-            exchange.effect_handlers[fx.AnswerStaff] = opened.answered
+            runtime.effect_handlers[fx.AnswerStaff] = opened.answered
         if ban_file is not None:
-            watch_marks(loop, ban_file, exchange.report)
+            watch_marks(loop, ban_file, runtime.report)
         if joined is not None and config.peering is not None:
             await joined.start(config.peering.listen)
         if not draining:  # guards clients against one that was asked to stop while it started
@@ -235,14 +235,14 @@
             host, port = config.listen
             log(f"ready: {config.name} on {host}:{port}, {len(config.house.known_servers)} stock nodes known")
         await over.wait()
-        if exchange.reducer.state.streams or exchange.reducer.state.requests:
-            exchange.recorder.write(config.scratch, config.name, log)  # it leaves, and owes something
+        if runtime.reducer.state.streams or runtime.reducer.state.requests:
+            runtime.recorder.write(config.scratch, config.name, log)  # it leaves, and owes something
         await asyncio.sleep(LINGER.total_seconds())
         if link is not None:
             link.close()
         if joined is not None:
             joined.close()
-        await clients.close(exchange.time_until_exit().total_seconds())
+        await clients.close(runtime.time_until_exit().total_seconds())
     log("drain: nothing owed any more; leaving")
 
 
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -34,7 +34,7 @@
 )  # no counter: nothing stands between a request and its attempt
 
 
-class GatedExchange(Runtime):
+class GatedRuntime(Runtime):
     """Dials as ever, once the gate is open."""
 
     def __init__(self, *more: Any) -> None:
@@ -111,7 +111,7 @@
 class Scene:
     """One ingress between its parties."""
 
-    exchange: GatedExchange
+    runtime: GatedRuntime
     clients: Clients
     servers: list[StandIn]
     server_list: StandIn
@@ -122,12 +122,12 @@
 
     @property
     def state(self) -> Any:
-        return self.exchange.reducer.state
+        return self.runtime.reducer.state
 
     def pass_time(self, duration: timedelta) -> None:
         """Time moves on; what is due by then happens."""
         self.now += duration
-        self.exchange.report(events.WakeUpDue())
+        self.runtime.report(events.WakeUpDue())
 
     async def connect_client(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         assert self.clients.listener is not None
@@ -190,26 +190,26 @@
             settings=settings, known_servers=known, server_list_address=server_list.address, **changes
         )
     )
-    exchange = GatedExchange(reducer, lambda: scenes[0].now if scenes else START, reader, log.append, leave)
+    runtime = GatedRuntime(reducer, lambda: scenes[0].now if scenes else START, reader, log.append, leave)
     class_names = [("stock-check", True), ("place-order", False)][: len(settings.classes)]
-    clients = exchange.clients = Clients(
-        RequestCatalog(class_names, ["negoce"], 3.0, 2), exchange.report, lambda: True
+    clients = runtime.clients = Clients(
+        RequestCatalog(class_names, ["negoce"], 3.0, 2), runtime.report, lambda: True
     )
-    scenes.append(Scene(exchange, clients, servers, server_list, log, counter=counter))
+    scenes.append(Scene(runtime, clients, servers, server_list, log, counter=counter))
     await clients.listen("127.0.0.1", 0)
-    exchange.start()
+    runtime.start()
     try:
         yield scenes[0]
     finally:
-        exchange.gate.set()
+        runtime.gate.set()
         clients.stop_listening()
-        for connection in list(exchange.connections.values()):
+        for connection in list(runtime.connections.values()):
             connection.close()
         await clients.server.shutdown(timeout=0.1)
         for stand_in in (*servers, server_list, *([counter] if counter is not None else ())):
             stand_in.close()
-        if exchange.timer is not None:
-            exchange.timer.cancel()
+        if runtime.timer is not None:
+            runtime.timer.cancel()
 
 
 async def first_connection(scene: Scene) -> tuple[int, StandInConnection]:
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -76,7 +76,7 @@
         and not clients.incomplete_bodies
         and not clients.busy_connections
     )
-    assert not running.exchange.body_tasks
+    assert not running.runtime.body_tasks
     assert not [
         connection
         for connection in state.connections.values()
@@ -108,7 +108,7 @@
             connection.send(BROKEN_ANSWERS[place])
             if BROKEN_ANSWERS[place]:
                 (protocol,) = [
-                    li for li in running.exchange.connections.values() if li.parse_stream_start is not None
+                    li for li in running.runtime.connections.values() if li.parse_stream_start is not None
                 ]
                 await wait_until(lambda: protocol.received)
             connection.reset()
@@ -323,7 +323,7 @@
             answer = await running.send_request(place_request("one"))
             ((old, name, _),) = await read_calls(running, 1)
             moved = running.counter = await type(running.counter)().start()
-            running.exchange.report(AddressesChanged(moved.address, running.state.server_list_address))
+            running.runtime.report(AddressesChanged(moved.address, running.state.server_list_address))
             old.send(total_response(2.0))  # on its way as the connection is left
             ((new, again, amount),) = await read_calls(running, 1)
             assert (again, amount) == (name, 0.0), "the total is read once more, and nothing charged twice"
@@ -349,7 +349,7 @@
             await node.read_request()
             node.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
-            running.exchange.reducer.gateway.call_share = 1.0  # as if the counter were well again
+            running.runtime.reducer.gateway.call_share = 1.0  # as if the counter were well again
             other = await running.send_request(place_request("two"))
             ((same, again, _),) = await read_calls(running, 1)
             assert same is connection and again == name
@@ -445,7 +445,7 @@
 
     async def scenario() -> None:
         async with scene() as running:
-            running.exchange.gate.clear()
+            running.runtime.gate.clear()
             _, writer = await running.connect_client()
             whole = harness.request("POST", "/place-order", b"x" * (begun + rest), left="2.0", name="one")
             writer.write(whole[:-rest])
@@ -461,7 +461,7 @@
             else:
                 StandInConnection(asyncio.StreamReader(), writer).reset()
             await wait_until(lambda: not running.state.requests)
-            running.exchange.gate.set()
+            running.runtime.gate.set()
             running.pass_time(100 * MS)
             assert running.state.statistics.attempts == 0
             assert_nothing_left(running)
@@ -474,7 +474,7 @@
     # The end of the sending side cannot be told from a close; what stands behind is not read any more.
     async def scenario() -> None:
         async with scene() as running:
-            running.exchange.gate.clear()
+            running.runtime.gate.clear()
             _, writer = await running.connect_client()
             writer.write(
                 place_request("one") + (place_request("two") if ends == "with a request behind" else b"")
@@ -485,7 +485,7 @@
             else:
                 writer.close()
             await wait_until(lambda: not running.state.requests)
-            running.exchange.gate.set()
+            running.runtime.gate.set()
             await wait_until(lambda: not running.clients.client_ids)
             running.pass_time(100 * MS)
             assert running.state.statistics.attempts == 0
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -68,8 +68,8 @@
 
 def start_drain(running: Scene) -> None:
     running.clients.draining = True
-    running.exchange.report(DrainRequested())
-    running.exchange.report(CloseIdleRequested())
+    running.runtime.report(DrainRequested())
+    running.runtime.report(CloseIdleRequested())
 
 
 async def serve_request(running: Scene, name: str, duration: float = 0.0) -> None:
@@ -191,7 +191,7 @@
     connection = await running.servers[0].next_connection()
     await connection.read_request()
     running.clients.draining = True
-    running.exchange.report(DrainRequested())
+    running.runtime.report(DrainRequested())
     connection.send(ok_response(BODY))
     await client.wait_for_data()
 
@@ -286,7 +286,7 @@
             held = connection.transport.get_extra_info("socket")
             held.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             await start_last_answer(running, client)
-            running.exchange.report(CloseIdleRequested())
+            running.runtime.report(CloseIdleRequested())
             assert running.exited
             closing = asyncio.create_task(running.clients.close())
             _, pending = await asyncio.wait([closing], timeout=0.3)
@@ -304,7 +304,7 @@
             client.send(check_request("one"))
             connection = await running.servers[0].next_connection()
             await connection.read_request()
-            opened = [line.transport for line in running.exchange.connections.values()]
+            opened = [line.transport for line in running.runtime.connections.values()]
             accepted = [connection.transport for connection in running.clients.client_ids]
             assert len(opened) >= 2 and len(accepted) == 1
             for transport in (*opened, *accepted):
--- a/tests/test_crossings_upstream.py
+++ b/tests/test_crossings_upstream.py
@@ -77,14 +77,14 @@
         async with scene(server_count=2) as running:
             list_connection = await running.server_list.next_connection()
             await list_connection.read_request()
-            running.exchange.gate.clear()
+            running.runtime.gate.clear()
             answer = await running.send_request(place_request("one"))
             await wait_until(lambda: running.state.attempts)
             ((_, attempt),) = running.state.attempts.items()
             server = running.state.servers[attempt.server_id]
             number = [p.address for p in running.servers].index(server.address)
             if change == "banned":
-                running.exchange.report(BanChangeRequested(1, f"s-{number}", server.entry.server, True))
+                running.runtime.report(BanChangeRequested(1, f"s-{number}", server.entry.server, True))
             else:
                 entry = {
                     "terminating": running.list_entry(number, "terminating"),
@@ -94,7 +94,7 @@
                 }[change]
                 answer_list(list_connection, 8, entry)
                 await wait_until(lambda: running.state.list_version == 8)
-            running.exchange.gate.set()
+            running.runtime.gate.set()
             if change != "restarted":
                 connection = await running.servers[1 - number].next_connection()
             else:  # the new process may well be chosen: by what is listed now
@@ -126,11 +126,11 @@
             answer = await running.send_request(place_request("one"))
             number, old = await first_connection(running)
             await old.read_request()
-            running.exchange.gate.clear()
+            running.runtime.gate.clear()
             old.writer.close()  # after the request's last byte: it may have run
             await wait_until(lambda: connections_to_servers(running, ConnectionState.OPENING))
             running.pass_time((400 if late else 100) * MS)
-            running.exchange.gate.set()
+            running.runtime.gate.set()
             if late:
                 status = int((await answer).split(b" ")[1])
                 assert (
@@ -158,13 +158,13 @@
 ) -> None:
     async def scenario() -> None:
         async with scene(settings=replace(SETTINGS_WITHOUT_COUNTER, allow_cancel=may_cancel)) as running:
-            running.exchange.gate.clear()
+            running.runtime.gate.clear()
             _, writer = await running.connect_client()
             writer.write(place_request("one"))
             await wait_until(lambda: connections_to_servers(running, ConnectionState.OPENING))
             writer.close()
             await wait_until(lambda: not running.state.requests)
-            running.exchange.gate.set()
+            running.runtime.gate.set()
             if may_cancel:
                 assert not running.state.connections or not connections_to_servers(
                     running, ConnectionState.OPENING
@@ -188,7 +188,7 @@
 def test_a_connection_that_opens_after_the_dial_timeout_is_not_written_to_and_released_once() -> None:
     async def scenario() -> None:
         async with scene(server_count=2) as running:
-            running.exchange.gate.clear()
+            running.runtime.gate.clear()
             answer = await running.send_request(place_request("one"))
             await wait_until(lambda: connections_to_servers(running, ConnectionState.OPENING))
             running.pass_time(260 * MS)  # past the dial's limit: the decisions go to the other node
@@ -197,14 +197,14 @@
                 == running.state.server_connection_count
                 == 1
             )
-            running.exchange.gate.set()
+            running.runtime.gate.set()
             _, connection = await first_connection(running)
             await connection.read_request()
             connection.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
             assert (
                 sum(len(p.all_connections) for p in running.servers) == 1
-                and not running.exchange.connect_tasks
+                and not running.runtime.connect_tasks
             )
 
     run_scene(scenario)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -44,7 +44,7 @@
 
 
 def move_list_agent(running: Scene, address: str) -> None:
-    running.exchange.report(AddressesChanged(running.state.counter_address, address))
+    running.runtime.report(AddressesChanged(running.state.counter_address, address))
 
 
 async def assert_forwarded_to(running: Scene, server_number: int) -> None:
@@ -77,7 +77,7 @@
             heard = len(ANSWER_BEGINNINGS[beginning])
             list_connection.send(ANSWER_BEGINNINGS[beginning])
             if heard:
-                line = running.exchange.connections[running.state.list_connection_id]
+                line = running.runtime.connections[running.state.list_connection_id]
                 await wait_until(
                     lambda: len(line.received) >= heard or line.partial or beginning == "only 1xx"
                 )
@@ -98,7 +98,7 @@
         async with scene() as running:
             list_connection, _ = await next_list_request(running)
             list_connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-            line = running.exchange.connections[running.state.list_connection_id]
+            line = running.runtime.connections[running.state.list_connection_id]
             for n in range(1, 30):
                 if running.state.list_connection_id != line.connection_id or line.closed:
                     break
@@ -267,7 +267,7 @@
             if state == "half a list":
                 body = json.dumps({"seq": 8, "whole": True, "hosts": [running.list_entry(0)]}).encode()
                 list_connection.send(ok_response(body)[:-5])
-                line = running.exchange.connections[running.state.list_connection_id]
+                line = running.runtime.connections[running.state.list_connection_id]
                 await wait_until(lambda: line.received)
             elif state == "down":
                 assert running.server_list.server is not None
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -73,8 +73,8 @@
             raise OSError("cannot be written")
 
         async with scene() as here:
-            here.exchange.effect_handlers[fx.Log] = fails
-            here.exchange.report(ev.DrainRequested(has_successor=True))  # logs, then accepts no more
+            here.runtime.effect_handlers[fx.Log] = fails
+            here.runtime.report(ev.DrainRequested(has_successor=True))  # logs, then accepts no more
             assert here.clients.listener is not None and here.clients.listener.acceptor.suspended
             assert here.log == ["fault: Log: OSError('cannot be written')"]
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -304,12 +304,12 @@
 
     async def scene() -> None:
         told: list[str] = []
-        exchange = Runtime(
+        runtime = Runtime(
             Broken(ingress_config()), lambda: START, ServerListReader(()), told.append, lambda: None
         )
         for _ in range(30):
-            exchange.report(ev.ClientDisconnected(1))
-        exchange.report(ev.WakeUpDue())
+            runtime.report(ev.ClientDisconnected(1))
+        runtime.report(ev.WakeUpDue())
         assert told[0] == "fault: ClientDisconnected: RuntimeError('a defect')"
         assert len(told) == 21 and told[-1] == "WakeUpDue"
 
