--- a/tests/kill_scene.py
+++ b/tests/kill_scene.py
@@ -14,13 +14,13 @@
 
 from tests import harness
 
-LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
-BIG = 60_000  # bytes: an answer that is held whole
-STREAMED = 3_000_000  # bytes: an answer that is passed on while it comes
-HALF = 200_000  # bytes of it that the server gives
+CONTENT_LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
+BUFFERED_SIZE = 60_000  # bytes: an answer that is held whole
+STREAMED_SIZE = 3_000_000  # bytes: an answer that is passed on while it comes
+SENT_PART = 200_000  # bytes of it that the server gives
 
 
-def kill_after(deadline: float) -> float:
+def kill_delay(deadline: float) -> float:
     """Seconds between SIGTERM and the earliest SIGKILL, as the platform's page gives them."""
     return min(deadline, 3.0) + 0.7
 
@@ -38,14 +38,14 @@
     if b"Id: begun" in request:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
     elif b"Id: streamed" in request:
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % STREAMED + b"s" * HALF)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % STREAMED_SIZE + b"s" * SENT_PART)
     elif b"Id: big" in request:
-        return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BIG + b"b" * BIG
+        return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BUFFERED_SIZE + b"b" * BUFFERED_SIZE
     return None
 
 
 @dataclass
-class Client:
+class SceneClient:
     """One client's connection, and all that came over it."""
 
     name: str
@@ -53,28 +53,28 @@
     writer: asyncio.StreamWriter
     received: bytearray = field(default_factory=bytearray)
     ended_at: float | None = None
-    whole_at: float | None = None
+    complete_at: float | None = None
     reset: bool = False
     task: asyncio.Task[None] | None = None
 
-    def follow(self) -> None:
+    def start_reading(self) -> None:
         """From now on what comes is taken down."""
-        self.task = asyncio.create_task(self._follow())
+        self.task = asyncio.create_task(self._read())
 
-    async def _follow(self) -> None:
+    async def _read(self) -> None:
         loop = asyncio.get_running_loop()
         try:
             while data := await self.reader.read(65_536):
                 self.received += data
-                if self.whole_at is None and self.is_whole():
-                    self.whole_at = loop.time()
+                if self.complete_at is None and self.is_complete():
+                    self.complete_at = loop.time()
         except ConnectionError:
             self.reset = True
         self.ended_at = loop.time()
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         head, end, body = bytes(self.received).partition(b"\r\n\r\n")
-        length = LENGTH.search(head)
+        length = CONTENT_LENGTH.search(head)
         return bool(end) and length is not None and len(body) >= int(length[1])
 
     @property
@@ -82,90 +82,102 @@
         """Of its answer; 0 where there is none."""
         return int(self.received[9:12]) if self.received.startswith(b"HTTP/1.1 ") else 0
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def over(self) -> None:
+    async def wait_closed(self) -> None:
         assert self.task is not None
         await asyncio.wait_for(self.task, 20)
         self.writer.close()
 
 
 @dataclass
-class Stop:
+class Termination:
     """A process that has been sent SIGTERM."""
 
     ingress: harness.Ingress
-    asked: float  # on the loop's clock
-    kill: float
-    clients: dict[str, Client] = field(default_factory=dict)
+    terminated_at: float  # on the loop's clock
+    kill_at: float
+    clients: dict[str, SceneClient] = field(default_factory=dict)
 
-    async def at(self, after: float) -> None:
+    async def wait_until(self, delay: float) -> None:
         """So many seconds after SIGTERM."""
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self.asked + after - loop.time())
+        await asyncio.sleep(self.terminated_at + delay - loop.time())
 
-    async def end(self) -> None:
+    async def finish(self) -> None:
         """SIGKILL at the earliest, then all that the clients still get."""
         loop = asyncio.get_running_loop()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(max(0.0, self.kill - loop.time())):
+            async with asyncio.timeout(max(0.0, self.kill_at - loop.time())):
                 await self.ingress.process.wait()
         if self.ingress.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.ingress.process.send_signal(signal.SIGKILL)
         for client in self.clients.values():
-            await client.over()
+            await client.wait_closed()
 
 
-class Scene:
+class KillScene:
     """An ingress with clients on connections that it has proven to hold."""
 
-    def __init__(self, ingress: harness.Ingress, deadline: float, parties: tuple[Any, ...]) -> None:
+    def __init__(self, ingress: harness.Ingress, deadline: float, ingress_arguments: tuple[Any, ...]) -> None:
         self.ingress, self.deadline = ingress, deadline
-        self.parties = parties  # by which another process of the same ingress is started
-        self.clients: dict[str, Client] = {}
+        self.ingress_arguments = ingress_arguments  # by which another process of the same ingress is started
+        self.clients: dict[str, SceneClient] = {}
 
     async def connect(self, *names: str) -> None:
         """A connection for each name, over which one request was answered."""
         for name in names:
-            client = await self.open(name)
-            client.say(harness.request("GET", "/stock-check", name=f"warm-{name}"))
+            client = await self.open_client(name)
+            client.send(harness.request("GET", "/stock-check", name=f"warm-{name}"))
             assert b" 200 " in await harness.read_request(client.reader)
-            client.follow()
+            client.start_reading()
 
-    async def open(self, name: str) -> Client:
+    async def open_client(self, name: str) -> SceneClient:
         reader, writer = await asyncio.open_connection(*self.ingress.address)
-        client = self.clients[name] = Client(name, reader, writer)
+        client = self.clients[name] = SceneClient(name, reader, writer)
         return client
 
-    def place(self, name: str, more: str = "", body: bytes = b"x") -> None:
+    def send_request(self, name: str, headers: str = "", body: bytes = b"x") -> None:
         """A request that must not run twice, whose client waits as long as the deployment lets it."""
-        data = harness.request("POST", "/place-order", body, more, left=f"{self.deadline}", name=name)
-        self.clients[name].say(data)
+        data = harness.request("POST", "/place-order", body, headers, left=f"{self.deadline}", name=name)
+        self.clients[name].send(data)
 
-    def stop(self) -> Stop:
+    def terminate(self) -> Termination:
         loop = asyncio.get_running_loop()
         self.ingress.process.send_signal(signal.SIGTERM)
-        asked = loop.time()
-        return Stop(self.ingress, asked, asked + kill_after(self.deadline), self.clients)
+        terminated_at = loop.time()
+        return Termination(
+            self.ingress, terminated_at, terminated_at + kill_delay(self.deadline), self.clients
+        )
 
 
 @contextlib.asynccontextmanager
 async def scene(
-    deadline: float, successor: bool, quota: harness.Script | None = None
-) -> AsyncIterator[tuple[Scene, Any]]:
+    deadline: float, successor: bool, counter: harness.Script | None = None
+) -> AsyncIterator[tuple[KillScene, Any]]:
     """An ingress, and what starts its successor: a context manager, void where there is to be none."""
-    with socket.socket() as listener, tempfile.TemporaryDirectory() as scratch:
+    with socket.socket() as listener, tempfile.TemporaryDirectory() as folder:
         listener.bind(("127.0.0.1", 0))
         listener.listen(64)
-        shared = listener if successor else None
+        shared_listener = listener if successor else None
         async with (
-            harness.party(server_script) as (node_at, _),
-            harness.party(quota or harness.counter()) as (quota_at, _),
-            harness.party(harness.silent) as (list_at, _),
+            harness.party(server_script) as (server_address, _),
+            harness.party(counter or harness.counter()) as (counter_address, _),
+            harness.party(harness.silent) as (list_address, _),
         ):
-            parties = node_at, quota_at, list_at, shared, scratch, 0, settings(deadline)
-            async with harness.ingress(*parties) as ingress:
-                second = harness.ingress(*parties) if successor else contextlib.nullcontext()
-                yield Scene(ingress, deadline, parties), second
+            ingress_arguments = (
+                server_address,
+                counter_address,
+                list_address,
+                shared_listener,
+                folder,
+                0,
+                settings(deadline),
+            )
+            async with harness.ingress(*ingress_arguments) as ingress:
+                successor_ingress = (
+                    harness.ingress(*ingress_arguments) if successor else contextlib.nullcontext()
+                )
+                yield KillScene(ingress, deadline, ingress_arguments), successor_ingress
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -20,7 +20,7 @@
 from tests.gateway_rig import GatewayRig, entry
 from tests.gateway_rig import settings as decisions
 from tests.reducer_rig import CHECK, PLACE, START, ReducerRig, listed_server
-from tests.test_sockets import harness_with
+from tests.test_sockets import running_ingress
 
 
 @pytest.mark.parametrize(
@@ -195,7 +195,7 @@
 
 def test_the_door_on_the_program() -> None:
     async def scene() -> None:
-        async with harness_with(lambda r, w: harness.OK) as (ingress, _, __):
+        async with running_ingress(lambda r, w: harness.OK) as (ingress, _, __):
             silent = [await asyncio.open_connection(*ingress.door) for _ in range(20)]
             silent[0][1].write(b"sta")
             endless = await asyncio.open_connection(*ingress.door)
@@ -223,7 +223,7 @@
 
 def test_the_door_answers_within_a_turn_of_a_pressed_loop() -> None:
     async def scene() -> None:
-        async with harness_with(lambda r, w: harness.OK) as (ingress, _, __):
+        async with running_ingress(lambda r, w: harness.OK) as (ingress, _, __):
             clients, each, answered = 40, 20, 0
 
             async def client(me: int) -> None:
--- a/tests/test_cores_scenes.py
+++ b/tests/test_cores_scenes.py
@@ -314,11 +314,11 @@
 
 
 def test_malformed_requests_are_answered_and_kill_no_worker() -> None:
-    from tests.test_sockets import BAD
+    from tests.test_sockets import BAD_REQUESTS
 
     async def scene(ingress: IngressProcess, seen: harness.Seen, _: StandInServer) -> None:
         before = ingress.pids()
-        for name, (data, expected) in BAD.items():
+        for name, (data, expected) in BAD_REQUESTS.items():
             client = await ingress.client()
             assert await client.ask(data) == expected, name
             client.writer.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,40 +18,38 @@
 
 from opalgauge.handover import record
 from opalgauge.handover.link import SOCKET_NAME, HandoverLink
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
-from starlinggap import interface as i
-from starlinggap import snapshot
+from opalgauge.memory import effects, events
+from starlinggap import interface, snapshot
 from tests import harness
 from tests.gateway_rig import GatewayRig, settings
 from tests.reducer_rig import CHECK, START, ReducerRig
 
-AT = record.ClockReading(START, timedelta(hours=5))
+CLOCKS = record.ClockReading(START, timedelta(hours=5))
 
 
-def later(seconds: float) -> record.ClockReading:
-    span = timedelta(seconds=seconds)
-    return record.ClockReading(AT.wall_clock + span, AT.monotonic + span)
+def clocks_after(seconds: float) -> record.ClockReading:
+    elapsed = timedelta(seconds=seconds)
+    return record.ClockReading(CLOCKS.wall_clock + elapsed, CLOCKS.monotonic + elapsed)
 
 
 def test_a_process_with_a_successor_leaves_once_its_clients_have_their_last_answers() -> None:
     rig = ReducerRig()
     for client in (1, 2):
-        rig.step(ev.ClientConnected(client))
+        rig.step(events.ClientConnected(client))
     rig.admit(CHECK)
-    line = rig.last_attempt().connection_id
-    rig.step(ev.DrainRequested(has_successor=True))
-    assert fx.StopAccepting() in rig.effects and fx.StopListening() not in rig.effects
-    rig.step(ev.ServerAnswered(line, i.End.OK, True, b""))
+    connection_id = rig.last_attempt().connection_id
+    rig.step(events.DrainRequested(has_successor=True))
+    assert effects.StopAccepting() in rig.effects and effects.StopListening() not in rig.effects
+    rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
     assert rig.answers[-1].close_connection
-    rig.step(ev.ClientDisconnected(1))
-    assert fx.Exit() not in rig.effects  # the other client may still ask
-    rig.step(ev.ClientDisconnected(2))
-    assert fx.Exit() in rig.effects
+    rig.step(events.ClientDisconnected(1))
+    assert effects.Exit() not in rig.effects  # the other client may still ask
+    rig.step(events.ClientDisconnected(2))
+    assert effects.Exit() in rig.effects
 
 
-def test_an_upgrade_under_load_turns_nothing_back_and_keeps_what_staff_said() -> None:
-    async def scene() -> None:
+def test_an_upgrade_under_load_rejects_nothing_and_keeps_bans() -> None:
+    async def scenario() -> None:
         async def slow(_: bytes, __: asyncio.StreamWriter) -> bytes:
             await asyncio.sleep(0.02)
             return harness.OK
@@ -60,18 +58,18 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(64)
             async with (
-                harness.party(slow) as (node_at, _),
-                harness.party(harness.counter()) as (quota_at, _),
-                harness.party(harness.silent) as (list_at, _),
-                harness.ingress(node_at, quota_at, list_at, listener, scratch) as old,
+                harness.party(slow) as (server_address, _),
+                harness.party(harness.counter()) as (counter_address, _),
+                harness.party(harness.silent) as (list_address, _),
+                harness.ingress(server_address, counter_address, list_address, listener, scratch) as old,
             ):
-                over = False
+                stopped = False
                 answers: list[bytes] = []
 
                 async def client(me: int) -> None:
                     """Asks over a kept connection, as long as that is left open."""
                     n, reader, writer = 0, None, None
-                    while not over:
+                    while not stopped:
                         if writer is None:
                             reader, writer = await asyncio.open_connection(*old.address)
                         assert reader is not None
@@ -86,7 +84,9 @@
 
                 asking = [asyncio.create_task(client(me)) for me in range(6)]
                 assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
-                async with harness.ingress(node_at, quota_at, list_at, listener, scratch) as new:
+                async with harness.ingress(
+                    server_address, counter_address, list_address, listener, scratch
+                ) as new:
                     assert (await new.call(b"stats\n")).find(b"skipped_backends=1") > 0
                     for process in (old, new):  # a new configuration in the overlap, at either
                         await process.reconfigure()
@@ -94,90 +94,97 @@
                     assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
                     assert await asyncio.wait_for(old.process.wait(), 20) == 0
                     await asyncio.sleep(0.3)
-                    over = True
+                    stopped = True
                     await asyncio.gather(*asking)
                     assert (await new.call(b"status\n")).startswith(b"200")
                     codes = {answer.split(b" ")[1] for answer in answers}
                     assert codes == {b"200", b"429"}
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_what_one_gateway_has_learned_another_takes_over_and_refuses_what_is_no_good() -> None:
+def test_a_gateway_imports_a_snapshot_and_rejects_a_damaged_one() -> None:
     old = GatewayRig(settings(), servers=3)
     for n in range(40):
         old.request(account=n % 5, step=0.01)
         if old.last_state() == "sent":
-            old.finish(i.End.ERROR if n == 7 else i.End.OK)
+            old.finish(interface.End.ERROR if n == 7 else interface.End.OK)
     old.gateway.call_share = 0.4
     new = GatewayRig(settings(), servers=3, seed=2)
-    told = json.loads(json.dumps(snapshot.export_state(old.gateway)))
-    snapshot.import_state(new.gateway, told, old.now)
-    assert snapshot.export_state(new.gateway) == told and new.gateway.call_share == 0.4
+    exported = json.loads(json.dumps(snapshot.export_state(old.gateway)))
+    snapshot.import_state(new.gateway, exported, old.now)
+    assert snapshot.export_state(new.gateway) == exported and new.gateway.call_share == 0.4
     assert new.gateway.accounts[1].deficit > 0
-    spoils: list[dict[str, object]] = [{"plans": 9}, {"customers": [[1]]}, {"learned": {}}, {"servers": 3}]
-    for spoil in spoils:
+    damages: list[dict[str, object]] = [{"plans": 9}, {"customers": [[1]]}, {"learned": {}}, {"servers": 3}]
+    for damage in damages:
         fresh = GatewayRig(settings(), servers=3)
         before = snapshot.export_state(fresh.gateway)
         with pytest.raises(snapshot.SnapshotError):
-            snapshot.import_state(fresh.gateway, {**told, **spoil}, old.now)
+            snapshot.import_state(fresh.gateway, {**exported, **damage}, old.now)
         assert snapshot.export_state(fresh.gateway) == before
 
 
 @given(st.integers(0, 400), st.binary(max_size=4))
 @hypothesis.settings(derandomize=True, max_examples=80)
-def test_a_record_that_is_torn_old_or_of_another_version_is_none(cut: int, noise: bytes) -> None:
-    whole = record.encode({"a": [1.5, None]}, AT)
-    assert record.decode(whole, later(4)) == record.ReceivedSnapshot({"a": [1.5, None]}, timedelta(0))
-    assert record.decode(whole, later(6)) is None
-    assert record.decode(whole.replace(b"memory-1", b"memory-2"), AT) is None
-    spoilt = whole[:cut] + noise
-    assert spoilt == whole or record.decode(spoilt, AT) is None
+def test_a_record_that_is_truncated_old_or_of_another_version_is_rejected(cut: int, noise: bytes) -> None:
+    encoded = record.encode({"a": [1.5, None]}, CLOCKS)
+    assert record.decode(encoded, clocks_after(4)) == record.ReceivedSnapshot(
+        {"a": [1.5, None]}, timedelta(0)
+    )
+    assert record.decode(encoded, clocks_after(6)) is None
+    assert record.decode(encoded.replace(b"memory-1", b"memory-2"), CLOCKS) is None
+    damaged = encoded[:cut] + noise
+    assert damaged == encoded or record.decode(damaged, CLOCKS) is None
 
 
 @pytest.mark.parametrize("step", [3600, -3600, 20, -20])
-def test_a_record_is_as_old_as_it_is_whatever_the_wall_clock_says(step: int) -> None:
-    whole = record.encode({"a": 1}, AT)
-    stepped = record.ClockReading(START + timedelta(seconds=3 + step), AT.monotonic + timedelta(seconds=3))
-    assert record.decode(whole, stepped) == record.ReceivedSnapshot({"a": 1}, timedelta(seconds=-step))
-    old = record.ClockReading(START + timedelta(seconds=6 + step), AT.monotonic + timedelta(seconds=6))
-    assert record.decode(whole, old) is None
+def test_the_age_of_a_record_does_not_depend_on_the_wall_clock(step: int) -> None:
+    encoded = record.encode({"a": 1}, CLOCKS)
+    stepped = record.ClockReading(
+        START + timedelta(seconds=3 + step), CLOCKS.monotonic + timedelta(seconds=3)
+    )
+    assert record.decode(encoded, stepped) == record.ReceivedSnapshot({"a": 1}, timedelta(seconds=-step))
+    old = record.ClockReading(START + timedelta(seconds=6 + step), CLOCKS.monotonic + timedelta(seconds=6))
+    assert record.decode(encoded, old) is None
     # What the version before wrote tells no more than the wall clock does.
     body = b'{"a":1}'
     head = f"{record.TITLE} {len(body)} {(START - record.EPOCH) // record.MICROSECOND} "
-    before = f"{head}{hashlib.sha256(body).hexdigest()}\n".encode() + body
-    assert record.decode(before, AT) == record.ReceivedSnapshot({"a": 1}, timedelta(0))
-    assert record.decode(before, stepped) is None
+    previous_format = f"{head}{hashlib.sha256(body).hexdigest()}\n".encode() + body
+    assert record.decode(previous_format, CLOCKS) == record.ReceivedSnapshot({"a": 1}, timedelta(0))
+    assert record.decode(previous_format, stepped) is None
 
 
-def test_a_record_of_which_a_bit_has_turned_is_none_or_as_it_was() -> None:
-    whole = record.encode({"a": [1.5, None]}, AT)
-    for at in range(len(whole)):
-        turned = whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :]
-        assert record.decode(turned, AT) in (None, record.ReceivedSnapshot({"a": [1.5, None]}, timedelta(0)))
+def test_a_record_with_a_flipped_bit_is_rejected_or_unchanged() -> None:
+    encoded = record.encode({"a": [1.5, None]}, CLOCKS)
+    for position in range(len(encoded)):
+        flipped = encoded[:position] + bytes([encoded[position] ^ 1]) + encoded[position + 1 :]
+        assert record.decode(flipped, CLOCKS) in (
+            None,
+            record.ReceivedSnapshot({"a": [1.5, None]}, timedelta(0)),
+        )
 
 
 def test_two_processes_share_one_part_of_a_ceiling() -> None:
-    rig, heard = ReducerRig(), list[i.Event]()
-    heard = rig.record_gateway_events()
+    rig, handled = ReducerRig(), list[interface.Event]()
+    handled = rig.record_gateway_events()
     for processes, parts in ((1, 1), (2, 2), (1, 1)):
-        rig.step(ev.ProcessCountChanged(processes))
+        rig.step(events.ProcessCountChanged(processes))
         rig.request(CHECK)
-        assert [e for e in heard if isinstance(e, i.Request)][-1].account_workers == parts
+        assert [e for e in handled if isinstance(e, interface.Request)][-1].account_workers == parts
 
 
-def test_the_link_hands_over_and_tells_who_lives(tmp_path: Path) -> None:
-    async def scene() -> None:
-        heard: dict[str, list[ev.Event]] = {"old": [], "new": [], "third": []}
-        said: list[str] = []
+def test_the_link_hands_over_and_reports_which_processes_live(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        reported: dict[str, list[events.Event]] = {"old": [], "new": [], "third": []}
+        log: list[str] = []
 
         def link(name: str) -> HandoverLink:
-            made = HandoverLink(str(tmp_path), lambda: {"from": name}, lambda: AT, said.append)
-            made.attach(heard[name].append)
-            return made
+            new_link = HandoverLink(str(tmp_path), lambda: {"from": name}, lambda: CLOCKS, log.append)
+            new_link.attach(reported[name].append)
+            return new_link
 
-        async def until(name: str, event: ev.Event) -> None:
-            while event not in heard[name]:
+        async def until(name: str, event: events.Event) -> None:
+            while event not in reported[name]:
                 await asyncio.sleep(0.001)
 
         dead = socket.socket(socket.AF_UNIX)
@@ -185,91 +192,95 @@
         dead.close()  # a leftover: nobody listens there
         old, new, third = link("old"), link("new"), link("third")
         await old.start()
-        assert not heard["old"]
+        assert not reported["old"]
         await new.start()
-        assert heard["new"] == [ev.ProcessCountChanged(2), ev.SnapshotReceived({"from": "old"})]
-        await until("old", ev.ProcessCountChanged(2))
+        assert reported["new"] == [events.ProcessCountChanged(2), events.SnapshotReceived({"from": "old"})]
+        await until("old", events.ProcessCountChanged(2))
         old.close()
-        await until("new", ev.ProcessCountChanged(1))
+        await until("new", events.ProcessCountChanged(1))
         while new.server is None:
             await asyncio.sleep(0.001)
         await third.start()  # a second upgrade
-        assert ev.SnapshotReceived({"from": "new"}) in heard["third"]
+        assert events.SnapshotReceived({"from": "new"}) in reported["third"]
         third.close()  # which never becomes ready
-        await until("new", ev.ProcessCountChanged(1))
+        await until("new", events.ProcessCountChanged(1))
         new.close()
-        assert not said
+        assert not log
 
-    asyncio.run(asyncio.wait_for(scene(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-STRANGERS = {
+OTHER_PROCESSES = {
     "another ingress": (record.Identity.of("n1", {"classes": [1]}), False),
     "another customer's settings": (record.Identity.of("n0", {"classes": [2]}), True),
 }
 
 
-@pytest.mark.parametrize("stranger", STRANGERS)
-def test_what_others_have_learned_is_not_used(stranger: str, tmp_path: Path) -> None:
-    other, beside_too = STRANGERS[stranger]
+@pytest.mark.parametrize("stranger", OTHER_PROCESSES)
+def test_the_snapshot_of_another_ingress_or_other_settings_is_not_used(stranger: str, tmp_path: Path) -> None:
+    other, same_ingress = OTHER_PROCESSES[stranger]
 
-    async def scene() -> None:
-        old_heard, new_heard, said = list[ev.Event](), list[ev.Event](), list[str]()
-        mine = record.Identity.of("n0", {"classes": [1]})
-        old = HandoverLink(str(tmp_path), lambda: {"from": "old"}, lambda: AT, said.append, other)
-        old.attach(old_heard.append)
-        new = HandoverLink(str(tmp_path), lambda: {"from": "new"}, lambda: AT, said.append, mine)
-        new.attach(new_heard.append)
+    async def scenario() -> None:
+        old_reported, new_reported, log = list[events.Event](), list[events.Event](), list[str]()
+        identity = record.Identity.of("n0", {"classes": [1]})
+        old = HandoverLink(str(tmp_path), lambda: {"from": "old"}, lambda: CLOCKS, log.append, other)
+        old.attach(old_reported.append)
+        new = HandoverLink(str(tmp_path), lambda: {"from": "new"}, lambda: CLOCKS, log.append, identity)
+        new.attach(new_reported.append)
         await old.start()
         await new.start()
-        assert not [e for e in new_heard if isinstance(e, ev.SnapshotReceived)]
-        assert len(said) == 1 and said[0].startswith("handover: ")
+        assert not [e for e in new_reported if isinstance(e, events.SnapshotReceived)]
+        assert len(log) == 1 and log[0].startswith("handover: ")
         # Two processes of one ingress share its part of the limits, whatever they work by; others do not.
-        assert new_heard[-1] == ev.ProcessCountChanged(2 if beside_too else 1)
-        if beside_too:
-            while ev.ProcessCountChanged(2) not in old_heard:
+        assert new_reported[-1] == events.ProcessCountChanged(2 if same_ingress else 1)
+        if same_ingress:
+            while events.ProcessCountChanged(2) not in old_reported:
                 await asyncio.sleep(0)
         else:
             while old.callers:
                 await asyncio.sleep(0)
-            assert ev.ProcessCountChanged(2) not in old_heard
+            assert events.ProcessCountChanged(2) not in old_reported
             assert new.server is None and (tmp_path / SOCKET_NAME).exists(), "the other's place is left to it"
         new.close()
         old.close()
 
-    asyncio.run(asyncio.wait_for(scene(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
 @given(st.binary(max_size=80))
 @hypothesis.settings(derandomize=True, max_examples=80)
-def test_whatever_a_caller_says_first_is_answered_without_what_was_learned(said: bytes) -> None:
-    mine = record.Identity.of("n0", {})
-    for hello in (said, record.encode_hello(mine)[:-3] + said, said + record.encode_hello(mine)):
-        if hello.removesuffix(b"\n") != record.encode_hello(mine).removesuffix(b"\n"):
-            assert record.answer_hello(hello, mine, lambda: {"a": 1}, AT) in (
+def test_an_unknown_hello_is_answered_without_a_snapshot(received: bytes) -> None:
+    identity = record.Identity.of("n0", {})
+    for hello in (
+        received,
+        record.encode_hello(identity)[:-3] + received,
+        received + record.encode_hello(identity),
+    ):
+        if hello.removesuffix(b"\n") != record.encode_hello(identity).removesuffix(b"\n"):
+            assert record.answer_hello(hello, identity, lambda: {"a": 1}, CLOCKS) in (
                 record.OTHER_INGRESS,
                 record.NO_SNAPSHOT,
             )
 
 
-@pytest.mark.parametrize("said", [b"", record.encode({"a": 1}, AT)[:-3], b"unknown\n", b"x" * 100_000])
-def test_an_old_process_that_dies_in_the_middle_of_handing_over_is_left(said: bytes, tmp_path: Path) -> None:
-    async def scene() -> None:
+@pytest.mark.parametrize("sent", [b"", record.encode({"a": 1}, CLOCKS)[:-3], b"unknown\n", b"x" * 100_000])
+def test_an_old_process_that_dies_while_handing_over_is_given_up(sent: bytes, tmp_path: Path) -> None:
+    async def scenario() -> None:
         async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
-            writer.write(said)
+            writer.write(sent)
             writer.close()
             server.close()
 
         server = await asyncio.start_unix_server(old, str(tmp_path / SOCKET_NAME))
-        heard, told = list[ev.Event](), list[str]()
-        new = HandoverLink(str(tmp_path), lambda: {}, lambda: AT, told.append)
-        new.attach(heard.append)
+        reported, log = list[events.Event](), list[str]()
+        new = HandoverLink(str(tmp_path), lambda: {}, lambda: CLOCKS, log.append)
+        new.attach(reported.append)
         await new.start()
-        while not heard or heard[-1] != ev.ProcessCountChanged(1) or new.server is None:
+        while not reported or reported[-1] != events.ProcessCountChanged(1) or new.server is None:
             await asyncio.sleep(0)
-        assert not [e for e in heard if isinstance(e, ev.SnapshotReceived)]
-        assert len(told) == 1 and told[0].startswith("handover: the old process hands over nothing")
+        assert not [e for e in reported if isinstance(e, events.SnapshotReceived)]
+        assert len(log) == 1 and log[0].startswith("handover: the old process hands over nothing")
         new.close()
 
-    asyncio.run(asyncio.wait_for(scene(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
--- a/tests/test_kill.py
+++ b/tests/test_kill.py
@@ -11,27 +11,27 @@
 import pytest
 
 from tests import harness
-from tests.kill_scene import BIG, STREAMED, scene
+from tests.kill_scene import BUFFERED_SIZE, STREAMED_SIZE, scene
 
-LATE = 0.9  # s after SIGTERM: a request that comes then may wait beyond the kill
-FAILED = (502, 504)  # what may have run is not called refused
+LATE_REQUEST_DELAY = 0.9  # s after SIGTERM: a request that comes then may wait beyond the kill
+FAILURE_STATUSES = (502, 504)  # what may have run is not called refused
 
 
 def test_a_request_read_after_the_start_of_an_upgrade_is_answered_before_the_kill() -> None:
-    async def play() -> None:
-        async with scene(3.0, successor=True) as (here, second):
+    async def scenario() -> None:
+        async with scene(3.0, successor=True) as (running, second):
             # While the old process is alone, so that it is the one that has the connection.
-            await here.connect("late")
+            await running.connect("late")
             async with second:
-                stop = here.stop()
-                await stop.at(LATE)
-                here.place("late")
-                await stop.end()
-        late = here.clients["late"]
-        assert late.whole_at is not None and late.whole_at < stop.kill
-        assert late.status in FAILED
+                termination = running.terminate()
+                await termination.wait_until(LATE_REQUEST_DELAY)
+                running.send_request("late")
+                await termination.finish()
+        late = running.clients["late"]
+        assert late.complete_at is not None and late.complete_at < termination.kill_at
+        assert late.status in FAILURE_STATUSES
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 @pytest.mark.parametrize("successor", [False, True], ids=["stop", "upgrade"])
@@ -40,81 +40,81 @@
     sent = ("early", "begun", "later")
     others = ("streamed", "big", "half-head", "half-body", "long-body", "silent", "last")
 
-    async def play() -> None:
-        async with scene(deadline, successor) as (here, second):
-            await here.connect(*sent, *others)
+    async def scenario() -> None:
+        async with scene(deadline, successor) as (running, second):
+            await running.connect(*sent, *others)
             async with second:
-                here.place("early")
-                here.place("begun")
-                here.place("streamed")
-                here.clients["half-head"].say(b"POST /place-order HTTP/1.1\r\nX-Corr")
-                here.place("half-body", "Content-Length: 100\r\n", b"")
-                here.place("long-body", "Content-Length: 900000\r\n", b"")
-                here.clients["long-body"].say(b"l" * 100_000)
-                here.place("big")
-                stop = here.stop()
-                await stop.at(0.35)
+                running.send_request("early")
+                running.send_request("begun")
+                running.send_request("streamed")
+                running.clients["half-head"].send(b"POST /place-order HTTP/1.1\r\nX-Corr")
+                running.send_request("half-body", "Content-Length: 100\r\n", b"")
+                running.send_request("long-body", "Content-Length: 900000\r\n", b"")
+                running.clients["long-body"].send(b"l" * 100_000)
+                running.send_request("big")
+                termination = running.terminate()
+                await termination.wait_until(0.35)
                 if not successor:
-                    new = await here.open("new")
-                    here.place("new")
-                    new.follow()
-                here.place("later")
-                await stop.at(stop.kill - stop.asked - 0.05)
-                here.place("last")
-                await stop.end()
-        clients = here.clients
+                    new = await running.open_client("new")
+                    running.send_request("new")
+                    new.start_reading()
+                running.send_request("later")
+                await termination.wait_until(termination.kill_at - termination.terminated_at - 0.05)
+                running.send_request("last")
+                await termination.finish()
+        clients = running.clients
         for name in (*sent, *(["new"] if not successor else [])):
             client = clients[name]
-            assert client.whole_at is not None and client.whole_at < stop.kill, name
-            assert client.status in FAILED, name
-        assert clients["big"].status == 200 and len(clients["big"].received) > BIG
+            assert client.complete_at is not None and client.complete_at < termination.kill_at, name
+            assert client.status in FAILURE_STATUSES, name
+        assert clients["big"].status == 200 and len(clients["big"].received) > BUFFERED_SIZE
         for name in ("half-body", "long-body"):
             client = clients[name]
-            assert client.whole_at is not None and client.whole_at < stop.kill, name
-            assert client.status in (*FAILED, 408), name
+            assert client.complete_at is not None and client.complete_at < termination.kill_at, name
+            assert client.status in (*FAILURE_STATUSES, 408), name
         streamed = clients["streamed"]
-        assert streamed.status == 200 and len(streamed.received) < STREAMED, "it looks whole"
+        assert streamed.status == 200 and len(streamed.received) < STREAMED_SIZE, "it looks whole"
         for name in ("half-head", "silent", "streamed"):
             ended = clients[name].ended_at
-            assert ended is not None and ended < stop.kill, f"{name}: left to the kill"
+            assert ended is not None and ended < termination.kill_at, f"{name}: left to the kill"
         # Its connection had ended before it was written, so that its client knows that it was not taken.
         last = clients["last"].ended_at
-        assert last is not None and last < stop.kill - 0.05
+        assert last is not None and last < termination.kill_at - 0.05
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 @pytest.mark.parametrize("successor", [False, True], ids=["stop", "upgrade"])
 def test_a_request_that_waits_for_a_silent_counter_is_answered_before_the_kill(successor: bool) -> None:
-    async def play() -> None:
-        async with scene(0.4, successor, harness.silent) as (here, second):
+    async def scenario() -> None:
+        async with scene(0.4, successor, harness.silent) as (running, second):
             for name in ("early", "later"):
-                client = await here.open(name)
-                client.follow()
+                client = await running.open_client(name)
+                client.start_reading()
             async with second:
-                here.place("early")
-                stop = here.stop()
-                await stop.at(0.5)
-                here.place("later")
-                await stop.end()
+                running.send_request("early")
+                termination = running.terminate()
+                await termination.wait_until(0.5)
+                running.send_request("later")
+                await termination.finish()
         for name in ("early", "later"):
-            client = here.clients[name]
-            assert client.whole_at is not None and client.whole_at < stop.kill, name
-            assert client.status in (*FAILED, 429), name
+            client = running.clients[name]
+            assert client.complete_at is not None and client.complete_at < termination.kill_at, name
+            assert client.status in (*FAILURE_STATUSES, 429), name
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_a_shared_descriptor_without_a_successor_is_no_reason_to_turn_clients_away() -> None:
-    async def play() -> None:
-        async with scene(3.0, successor=True) as (here, _):
-            await here.connect("kept")
-            stop = here.stop()
-            await stop.at(0.3)
-            client = await here.open("warm-new")
-            here.place("warm-new")
-            client.follow()
-            await stop.end()
-        assert here.clients["warm-new"].status == 200
-
-    asyncio.run(asyncio.wait_for(play(), 60))
+    async def scenario() -> None:
+        async with scene(3.0, successor=True) as (running, _):
+            await running.connect("kept")
+            termination = running.terminate()
+            await termination.wait_until(0.3)
+            client = await running.open_client("warm-new")
+            running.send_request("warm-new")
+            client.start_reading()
+            await termination.finish()
+        assert running.clients["warm-new"].status == 200
+
+    asyncio.run(asyncio.wait_for(scenario(), 60))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,8 +10,7 @@
 
 import pytest
 
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
+from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
 from opalgauge.wire.clients import Clients, RequestCatalog
 from opalgauge.wire.runtime import Runtime
@@ -19,20 +18,20 @@
 from tests import harness
 from tests.reducer_rig import START, ingress_config
 
-SETTLING = ingress_config().reuse_delay.total_seconds()
+REUSE_DELAY = ingress_config().reuse_delay.total_seconds()
 
 
 @contextlib.asynccontextmanager
-async def harness_with(
-    node: harness.Script, quota: harness.Script | None = None
+async def running_ingress(
+    server: harness.Script, counter: harness.Script | None = None
 ) -> AsyncIterator[tuple[harness.Ingress, harness.Seen, harness.Seen]]:
     async with (
-        harness.party(node) as (node_at, nodes),
-        harness.party(quota or harness.counter()) as (quota_at, quotas),
-        harness.party(harness.silent) as (list_at, _),
-        harness.ingress(node_at, quota_at, list_at) as ingress,
+        harness.party(server) as (server_address, servers),
+        harness.party(counter or harness.counter()) as (counter_address, counter_log),
+        harness.party(harness.silent) as (list_address, _),
+        harness.ingress(server_address, counter_address, list_address) as ingress,
     ):
-        yield ingress, nodes, quotas
+        yield ingress, servers, counter_log
 
 
 def status(answer: bytes) -> int:
@@ -40,30 +39,30 @@
 
 
 def test_a_request_passes_unchanged_and_its_answer_comes_back() -> None:
-    async def scene() -> None:
-        async with harness_with(lambda r, w: harness.OK) as (ingress, nodes, quotas):
+    async def scenario() -> None:
+        async with running_ingress(lambda r, w: harness.OK) as (ingress, servers, counter_log):
             target = "/place-order/a%2Fb/%7e?x=%20&&y=a+b"
             body = bytes(range(256)) * 8
             answer = await ingress.ask("POST", target, body, "Content-Encoding: gzip\r\n")
             assert status(answer) == 200 and answer.endswith(b"\r\n\r\ndone")
-            head, _, passed = nodes.requests[0].partition(b"\r\n\r\n")
+            head, _, passed = servers.requests[0].partition(b"\r\n\r\n")
             assert head.startswith(b"POST " + target.encode() + b" HTTP/1.1\r\n")
             assert b"X-Correlation-Id: 9b1f03aa5c7e2d41" in head
             assert b"Content-Encoding: gzip" in head
             assert 0.8 < float(head.split(b"X-Time-Left: ")[1].split(b"\r\n")[0]) < 1.0
             assert passed == body
-            assert quotas.requests[0].startswith(b"POST /counters/")
-            assert b"?by=2&expire_ms=" in quotas.requests[0]
+            assert counter_log.requests[0].startswith(b"POST /counters/")
+            assert b"?by=2&expire_ms=" in counter_log.requests[0]
             assert status(await ingress.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_kept_connection_that_dies_under_a_request_is_not_tried_again_by_itself() -> None:
+def test_a_request_on_a_kept_connection_that_dies_is_not_resent_by_itself() -> None:
     # Guards against a client library's own resending: a place-order could run twice, unseen by the decisions.
     served = 0
 
-    def node(_: bytes, writer: asyncio.StreamWriter) -> bytes | None:
+    def server(_: bytes, writer: asyncio.StreamWriter) -> bytes | None:
         nonlocal served
         served += 1
         if served == 1:
@@ -71,108 +70,108 @@
         writer.close()
         return None
 
-    async def scene() -> None:
-        async with harness_with(node) as (ingress, nodes, _):
+    async def scenario() -> None:
+        async with running_ingress(server) as (ingress, servers, _):
             assert status(await ingress.ask("POST", "/place-order")) == 200
-            await asyncio.sleep(2 * SETTLING)  # at least: until the connection may be used again
+            await asyncio.sleep(2 * REUSE_DELAY)  # at least: until the connection may be used again
             assert status(await ingress.ask("POST", "/place-order")) == 502
-            assert nodes.connections == 1
-            assert len(nodes.requests) == 2
+            assert servers.connections == 1
+            assert len(servers.requests) == 2
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_an_attempt_given_up_ends_its_connection_and_the_client_has_its_answer() -> None:
-    async def scene() -> None:
-        async with harness_with(harness.silent) as (ingress, nodes, _):
+def test_an_abandoned_attempt_ends_its_connection_and_the_client_is_answered() -> None:
+    async def scenario() -> None:
+        async with running_ingress(harness.silent) as (ingress, servers, _):
             answer = await ingress.raw(harness.request("POST", "/place-order", left="0.4"))
             assert status(answer) == 504
-            await asyncio.wait_for(nodes.ended.wait(), 30)
-            assert len(nodes.requests) == 1
+            await asyncio.wait_for(servers.ended.wait(), 30)
+            assert len(servers.requests) == 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("quota", [harness.silent, lambda r, w: w.close()], ids=["silent", "breaking"])
-def test_without_a_quota_counter_orders_are_still_answered(quota: harness.Script) -> None:
-    async def scene() -> None:
-        async with harness_with(lambda r, w: harness.OK, quota) as (ingress, _, quotas):
+@pytest.mark.parametrize("counter", [harness.silent, lambda r, w: w.close()], ids=["silent", "breaking"])
+def test_without_a_quota_counter_requests_are_still_answered(counter: harness.Script) -> None:
+    async def scenario() -> None:
+        async with running_ingress(lambda r, w: harness.OK, counter) as (ingress, _, counter_log):
             for _ in range(3):
                 assert status(await ingress.ask("POST", "/place-order")) == 200
-            assert quotas.requests
+            assert counter_log.requests
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_no_counter_call_is_refused_by_being_turned_away() -> None:
+def test_rejected_counter_calls_refuse_no_request() -> None:
     # The counter turns every call away until a run begins: that is no reason to be unready or to refuse.
-    away = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+    rejection = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-    async def scene() -> None:
-        async with harness_with(lambda r, w: harness.OK, lambda r, w: away) as (ingress, _, _quotas):
+    async def scenario() -> None:
+        async with running_ingress(lambda r, w: harness.OK, lambda r, w: rejection) as (ingress, _, _quotas):
             assert status(await ingress.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) == 200
             assert status(await ingress.ask("GET", "/stock-check")) == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_new_configuration_moves_counter_and_node_list_and_stops_nothing() -> None:
+def test_a_new_configuration_moves_counter_and_server_list_and_stops_nothing() -> None:
     # Guards against ending on SIGHUP, and against going on with addresses that are left.
-    async def scene() -> None:
+    async def scenario() -> None:
         async with (
-            harness_with(lambda r, w: harness.OK) as (ingress, _, quotas),
-            harness.party(harness.counter()) as (quota_at, new_quotas),
-            harness.party(harness.silent) as (list_at, new_lists),
+            running_ingress(lambda r, w: harness.OK) as (ingress, _, counter_log),
+            harness.party(harness.counter()) as (counter_address, new_counter_log),
+            harness.party(harness.silent) as (list_address, new_list_log),
         ):
             assert status(await ingress.ask("POST", "/place-order")) == 200
-            await ingress.reconfigure(counter=quota_at, discovery=list_at)
-            seen = len(quotas.requests)
+            await ingress.reconfigure(counter=counter_address, discovery=list_address)
+            seen = len(counter_log.requests)
             assert status(await ingress.ask("POST", "/place-order")) == 200
-            assert new_quotas.requests and len(quotas.requests) == seen
-            while not new_lists.requests:
+            assert new_counter_log.requests and len(counter_log.requests) == seen
+            while not new_list_log.requests:
                 await asyncio.sleep(0.01)
-            assert new_lists.requests[0].startswith(b"GET /v1/endpoints HTTP/1.1")
+            assert new_list_log.requests[0].startswith(b"GET /v1/endpoints HTTP/1.1")
             ingress.path.write_text('{"half')
             ingress.process.send_signal(signal.SIGHUP)
             assert ingress.process.stderr is not None
             assert b"going on as before" in await ingress.process.stderr.readline()
             assert status(await ingress.ask("POST", "/place-order")) == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-SILENT = {
+INCOMPLETE_REQUESTS = {
     "nothing": b"",
     "half a head": b"GET /stock-check HTTP/1.1\r\nX-",
     "half a body": harness.request("POST", "/place-order", b"abc")[:-1],
 }
 
 
-def test_clients_that_ask_nothing_whole_are_closed() -> None:
-    async def scene() -> None:
-        async with harness_with(lambda r, w: harness.OK) as (ingress, nodes, _):
+def test_clients_without_a_complete_request_are_closed() -> None:
+    async def scenario() -> None:
+        async with running_ingress(lambda r, w: harness.OK) as (ingress, servers, _):
             ends = []
-            for data in SILENT.values():
+            for data in INCOMPLETE_REQUESTS.values():
                 reader, writer = await asyncio.open_connection(*ingress.address)
                 writer.write(data)
                 ends.append((reader, writer))
             for reader, writer in ends:
-                said = await asyncio.wait_for(reader.read(), 30)
-                assert said == b"" or said.startswith(b"HTTP/1.1 408 ")
+                output = await asyncio.wait_for(reader.read(), 30)
+                assert output == b"" or output.startswith(b"HTTP/1.1 408 ")
                 writer.close()
-            assert not nodes.requests
+            assert not servers.requests
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-CHUNKS = "Transfer-Encoding: chunked\r\n"
+CHUNKED_HEADER = "Transfer-Encoding: chunked\r\n"
 
 
 @pytest.mark.parametrize("leaving", [False, True])
-def test_a_request_that_has_been_read_is_not_lost_to_the_end_of_quiet_connections(leaving: bool) -> None:
+def test_a_request_that_has_been_read_is_not_lost_when_idle_connections_are_closed(leaving: bool) -> None:
     # Guards the turns of the loop between a request's last byte and its order: the reducer does not know yet.
-    async def scene() -> None:
-        seen: list[ev.Event] = []
+    async def scenario() -> None:
+        seen: list[events.Event] = []
         clients = Clients(
             RequestCatalog([("stock-check", True)], ["negoce"], 3.0, 2), seen.append, lambda: True
         )
@@ -185,12 +184,12 @@
         connection.data_received(harness.request("GET", "/stock-check"))
         end = clients.stop_listening if leaving else lambda: clients.close_if_idle(number)
         end()
-        while not isinstance(seen[-1], ev.RequestReceived):
+        while not isinstance(seen[-1], events.RequestReceived):
             await asyncio.sleep(0)
             end()
         closing = asyncio.ensure_future(clients.close() if leaving else asyncio.sleep(0))
         await asyncio.sleep(0.15)
-        clients.answer(fx.AnswerClient(seen[-1].request_id, 200, b"done"))
+        clients.answer(effects.AnswerClient(seen[-1].request_id, 200, b"done"))
         assert (await harness.read_request(reader)).endswith(b"done")
         await closing
         await asyncio.sleep(0.01)
@@ -199,10 +198,10 @@
         writer.close()
         clients.stop_listening()
 
-    asyncio.run(asyncio.wait_for(scene(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-BAD = {
+BAD_REQUESTS = {
     "an unknown kind": (harness.request("GET", "/nothing"), 404),
     "another method": (harness.request("GET", "/place-order"), 400),
     "time that is none": (harness.request("GET", "/stock-check", left="soon"), 400),
@@ -221,7 +220,7 @@
     "no terms": (harness.request("GET", "/stock-check").replace(b"X-Call-Terms", b"X-Other"), 400),
     "no id": (harness.request("GET", "/stock-check", name=""), 400),
     "a body where there is none": (harness.request("GET", "/stock-check", b"abc"), 400),
-    "a length and chunks": (harness.request("POST", "/place-order", b"abc", CHUNKS), 400),
+    "a length and chunks": (harness.request("POST", "/place-order", b"abc", CHUNKED_HEADER), 400),
     "a negative length": (harness.request("POST", "/place-order", more="Content-Length: -1\r\n"), 400),
     "no HTTP": (b"\x16\x03\x01 what is this\r\n\r\n", 400),
     "far too much to send": (
@@ -232,102 +231,102 @@
 }
 
 
-def test_bad_input_is_answered_and_kills_nothing() -> None:
-    async def scene() -> None:
-        async with harness_with(lambda r, w: harness.OK) as (ingress, nodes, _):
-            for name, (data, expected) in BAD.items():
+def test_bad_input_is_answered_and_does_no_harm() -> None:
+    async def scenario() -> None:
+        async with running_ingress(lambda r, w: harness.OK) as (ingress, servers, _):
+            for name, (data, expected) in BAD_REQUESTS.items():
                 assert status(await ingress.raw(data)) == expected, name
-            assert not nodes.requests
+            assert not servers.requests
             assert status(await ingress.ask("GET", "/stock-check")) == 200
             assert ingress.process.returncode is None
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_request_under_the_id_of_an_open_one_is_turned_away_and_harms_it_not() -> None:
+def test_a_request_with_the_id_of_an_open_one_is_rejected_and_leaves_it_alone() -> None:
     release = asyncio.Event()
 
-    async def node(_: bytes, __: asyncio.StreamWriter) -> bytes:
+    async def server(_: bytes, __: asyncio.StreamWriter) -> bytes:
         await release.wait()
         return harness.OK
 
-    async def scene() -> None:
-        async with harness_with(node) as (ingress, nodes, _):
+    async def scenario() -> None:
+        async with running_ingress(server) as (ingress, servers, _):
             first = asyncio.create_task(ingress.raw(harness.request("POST", "/place-order", left="3.0")))
-            while not nodes.requests:
+            while not servers.requests:
                 await asyncio.sleep(0.01)
             assert status(await ingress.ask("GET", "/stock-check")) == 400
             release.set()
             assert status(await first) == 200
-            assert len(nodes.requests) == 1
+            assert len(servers.requests) == 1
             assert status(await ingress.ask("GET", "/stock-check")) == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_stock_node_that_talks_nonsense_costs_one_connection_only() -> None:
+def test_a_server_that_sends_garbage_costs_one_connection_only() -> None:
     served = 0
 
-    def node(_: bytes, __: asyncio.StreamWriter) -> bytes:
+    def server(_: bytes, __: asyncio.StreamWriter) -> bytes:
         nonlocal served
         served += 1
         return b"\x00nonsense\r\n\r\n" if served == 20 else harness.OK
 
-    async def scene() -> None:
-        async with harness_with(node) as (ingress, _, _quotas):
+    async def scenario() -> None:
+        async with running_ingress(server) as (ingress, _, _quotas):
             answers = [status(await ingress.ask("POST", "/place-order")) for _ in range(22)]
             assert answers == [200] * 19 + [502] + [200] * 2
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_client_that_leaves_has_its_attempt_called_off() -> None:
-    async def scene() -> None:
-        async with harness_with(harness.silent) as (ingress, nodes, _):
+def test_the_attempt_of_a_client_that_leaves_is_cancelled() -> None:
+    async def scenario() -> None:
+        async with running_ingress(harness.silent) as (ingress, servers, _):
             _, writer = await asyncio.open_connection(*ingress.address)
             writer.write(harness.request("POST", "/place-order", left="600"))
-            while not nodes.requests:
+            while not servers.requests:
                 await asyncio.sleep(0.01)
-            assert not nodes.ended.is_set()
+            assert not servers.ended.is_set()
             writer.close()
-            await asyncio.wait_for(nodes.ended.wait(), 30)
+            await asyncio.wait_for(servers.ended.wait(), 30)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_defect_in_one_event_is_told_and_stops_nothing_else() -> None:
-    class Broken(Reducer):
-        def step(self, event: ev.Event, now: datetime) -> list[fx.Effect]:
-            if isinstance(event, ev.ClientDisconnected):
+def test_an_exception_in_one_event_is_logged_and_stops_nothing_else() -> None:
+    class FaultyReducer(Reducer):
+        def step(self, event: events.Event, now: datetime) -> list[effects.Effect]:
+            if isinstance(event, events.ClientDisconnected):
                 raise RuntimeError("a defect")
-            return [fx.Log(type(event).__name__)]
+            return [effects.Log(type(event).__name__)]
 
-    async def scene() -> None:
-        told: list[str] = []
+    async def scenario() -> None:
+        logged: list[str] = []
         runtime = Runtime(
-            Broken(ingress_config()), lambda: START, ServerListReader(()), told.append, lambda: None
+            FaultyReducer(ingress_config()), lambda: START, ServerListReader(()), logged.append, lambda: None
         )
         for _ in range(30):
-            runtime.report(ev.ClientDisconnected(1))
-        runtime.report(ev.WakeUpDue())
-        assert told[0] == "fault: ClientDisconnected: RuntimeError('a defect')"
-        assert len(told) == 21 and told[-1] == "WakeUpDue"
+            runtime.report(events.ClientDisconnected(1))
+        runtime.report(events.WakeUpDue())
+        assert logged[0] == "fault: ClientDisconnected: RuntimeError('a defect')"
+        assert len(logged) == 21 and logged[-1] == "WakeUpDue"
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_sigterm_answers_what_is_owed_and_what_still_comes_then_leaves_with_0() -> None:
+def test_sigterm_answers_open_and_late_requests_and_exits_with_0() -> None:
     release = asyncio.Event()
 
-    async def node(data: bytes, _: asyncio.StreamWriter) -> bytes:
+    async def server(data: bytes, _: asyncio.StreamWriter) -> bytes:
         if b"/slow" in data:
             await release.wait()
         return harness.OK
 
-    async def scene() -> None:
-        async with harness_with(node) as (ingress, nodes, _):
+    async def scenario() -> None:
+        async with running_ingress(server) as (ingress, servers, _):
             slow = asyncio.create_task(ingress.raw(harness.request("POST", "/place-order/slow", name="slow")))
-            while not nodes.requests:
+            while not servers.requests:
                 await asyncio.sleep(0.01)
             idle_reader, idle_writer = await asyncio.open_connection(*ingress.address)
             ingress.process.send_signal(signal.SIGTERM)
@@ -341,35 +340,35 @@
             assert status(await slow) == 200
             assert await ingress.process.wait() == 0
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_signals_that_cross_end_the_ingress_once_and_its_client_has_its_answer() -> None:
+def test_repeated_signals_end_the_ingress_once_and_its_client_is_answered() -> None:
     # The stock node hangs, so that the order has nothing left but its time; SIGTERM comes twice, and SIGHUP.
-    async def scene() -> None:
-        async with harness_with(harness.silent) as (ingress, nodes, _):
+    async def scenario() -> None:
+        async with running_ingress(harness.silent) as (ingress, servers, _):
             held = asyncio.create_task(ingress.raw(harness.request("POST", "/place-order", left="1.0")))
-            while not nodes.requests:
+            while not servers.requests:
                 await asyncio.sleep(0.01)
-            for sign in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
-                ingress.process.send_signal(sign)
+            for signal_number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
+                ingress.process.send_signal(signal_number)
             answer = await held
             assert status(answer) in (502, 504) and b"connection: close" in answer.lower()
             assert ingress.process.stderr is not None
-            said = await asyncio.wait_for(ingress.process.stderr.read(), 60)
+            output = await asyncio.wait_for(ingress.process.stderr.read(), 60)
             assert await ingress.process.wait() == 0
-            assert said.count(b"asked to stop") == 1 and b"fault" not in said
-            assert len(nodes.requests) == 1
+            assert output.count(b"asked to stop") == 1 and b"fault" not in output
+            assert len(servers.requests) == 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_start_needs_neither_the_node_list_nor_the_counter() -> None:
+def test_a_start_needs_neither_the_server_list_nor_the_counter() -> None:
     # Guards a whole deployment that starts at once while discovery is down.
-    async def scene() -> None:
-        async with harness.party(lambda r, w: harness.OK) as (node, _):
+    async def scenario() -> None:
+        async with harness.party(lambda r, w: harness.OK) as (server, _):
             nobody = f"127.0.0.1:{harness.free_port()}"
-            async with harness.starting(node, nobody, nobody) as ingress:
+            async with harness.starting(server, nobody, nobody) as ingress:
                 assert ingress.process.stderr is not None
                 while b"ready" not in await asyncio.wait_for(ingress.process.stderr.readline(), 60):
                     assert ingress.process.returncode is None
@@ -377,4 +376,4 @@
                 answer = await ingress.raw(harness.request("POST", "/place-order", left="2.0"))
                 assert status(answer) == 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -20,37 +20,37 @@
 from tests import harness
 from tests.shim import Shim
 
-LEFT = re.compile(rb"x-time-left: *([0-9.]+)", re.IGNORECASE)
-ANSWERED = 20.0  # s: far longer than any answer takes
+TIME_LEFT = re.compile(rb"x-time-left: *([0-9.]+)", re.IGNORECASE)
+ANSWER_TIMEOUT = 20.0  # s: far longer than any answer takes
 
 
 @dataclass
 class Scene:
     ingress: harness.Ingress
     shim: Shim
-    node: harness.Seen
+    server: harness.Seen
 
     def cpu_seconds(self) -> float:
         """What the process has used of the processor so far."""
-        words = Path(f"/proc/{self.ingress.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
-        return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+        stat_fields = Path(f"/proc/{self.ingress.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
+        return (int(stat_fields[11]) + int(stat_fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    async def given(self, fault: str, least: int = 1) -> None:
+    async def wait_for_fault(self, fault: str, least: int = 1) -> None:
         """The fault has reached the program."""
-        async with asyncio.timeout(ANSWERED):
+        async with asyncio.timeout(ANSWER_TIMEOUT):
             while self.shim.given(fault) < least:
                 await asyncio.sleep(0.005)
 
-    async def check(self, name: str) -> int:
+    async def send_check(self, name: str) -> int:
         return await self._status(harness.request("GET", "/stock-check", name=name))
 
-    async def place(self, name: str) -> int:
+    async def send_place(self, name: str) -> int:
         """For a client that waits as long as the deployment lets it."""
         return await self._status(harness.request("POST", "/place-order", b"x", left="3.0", name=name))
 
     async def _status(self, request: bytes) -> int:
         answer = self.ingress.raw(request)
-        return int((await asyncio.wait_for(answer, ANSWERED))[9:12])
+        return int((await asyncio.wait_for(answer, ANSWER_TIMEOUT))[9:12])
 
 
 def ok(_: bytes, __: asyncio.StreamWriter) -> bytes:
@@ -61,12 +61,12 @@
 async def scene(folder: Path) -> AsyncIterator[Scene]:
     shim = Shim(str(folder))
     async with (
-        harness.party(ok) as (node_at, node),
-        harness.party(harness.counter()) as (quota_at, _),
-        harness.party(harness.silent) as (list_at, _),
-        harness.ingress(node_at, quota_at, list_at, environ=shim.environ) as ingress,
+        harness.party(ok) as (server_address, server),
+        harness.party(harness.counter()) as (counter_address, _),
+        harness.party(harness.silent) as (list_address, _),
+        harness.ingress(server_address, counter_address, list_address, environ=shim.environ) as ingress,
     ):
-        yield Scene(ingress, shim, node)
+        yield Scene(ingress, shim, server)
 
 
 ACCEPT_ERRORS = ("ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "ENETDOWN")
@@ -74,135 +74,137 @@
 
 @pytest.mark.parametrize("error", ACCEPT_ERRORS)
 def test_an_accept_that_fails_for_a_moment_delays_a_client_and_loses_none(error: str, tmp_path: Path) -> None:
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            here.shim.give("accept", getattr(errno, error))
-            waiting = asyncio.create_task(here.check("waits"))
-            await here.given("accept", 3)
-            used, began = here.cpu_seconds(), time.monotonic()
+    async def scenario() -> None:
+        async with scene(tmp_path) as running:
+            running.shim.give("accept", getattr(errno, error))
+            waiting = asyncio.create_task(running.send_check("waits"))
+            await running.wait_for_fault("accept", 3)
+            used, began = running.cpu_seconds(), time.monotonic()
             await asyncio.sleep(0.5)
-            assert here.cpu_seconds() - used < (time.monotonic() - began) / 2, "it spins"
-            here.shim.stop("accept")
+            assert running.cpu_seconds() - used < (time.monotonic() - began) / 2, "it spins"
+            running.shim.stop("accept")
             assert await waiting == 200
-            assert await here.check("after") == 200
+            assert await running.send_check("after") == 200
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_a_request_that_waited_to_be_accepted_is_sent_on_with_what_is_left(tmp_path: Path) -> None:
+def test_a_request_that_waited_to_be_accepted_is_forwarded_with_the_time_left(tmp_path: Path) -> None:
     # The soak's seed 223: requests that lay 0.25 s in the accept queue were sent on with all of their time.
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            here.shim.give("accept", errno.EMFILE)
-            asked = asyncio.create_task(here.check("waits"))
-            await here.given("accept", 3)
+    async def scenario() -> None:
+        async with scene(tmp_path) as running:
+            running.shim.give("accept", errno.EMFILE)
+            answer = asyncio.create_task(running.send_check("waits"))
+            await running.wait_for_fault("accept", 3)
             began = time.monotonic()
             await asyncio.sleep(0.6)
-            here.shim.stop("accept")
+            running.shim.stop("accept")
             waited = time.monotonic() - began
-            assert await asked == 200 and await here.check("after") == 200
-            here.shim.give("accept", errno.EMFILE)
-            reader, writer = await asyncio.open_connection(*here.ingress.address)
-            await here.given("accept", 6)
+            assert await answer == 200 and await running.send_check("after") == 200
+            running.shim.give("accept", errno.EMFILE)
+            reader, writer = await asyncio.open_connection(*running.ingress.address)
+            await running.wait_for_fault("accept", 6)
             await asyncio.sleep(0.3)
-            here.shim.stop("accept")
+            running.shim.stop("accept")
             await asyncio.sleep(0.1)  # it is accepted, and asks only now
             writer.write(harness.request("GET", "/stock-check", name="asks-late"))
-            assert b" 200 " in await asyncio.wait_for(harness.read_request(reader), ANSWERED)
+            assert b" 200 " in await asyncio.wait_for(harness.read_request(reader), ANSWER_TIMEOUT)
             writer.close()
-            told = [float(LEFT.search(request)[1]) for request in here.node.requests]  # type: ignore[index]
-            assert told[0] <= 1.0 - waited + 0.15, "it has been sent on with time that its client has not"
-            assert min(told[1:]) > 0.9
+            times_left = [float(TIME_LEFT.search(request)[1]) for request in running.server.requests]  # type: ignore[index]
+            assert times_left[0] <= 1.0 - waited + 0.15, (
+                "it has been sent on with time that its client has not"
+            )
+            assert min(times_left[1:]) > 0.9
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_what_was_waited_is_taken_off_the_request_that_waited_and_no_other(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            here.shim.give("accept", errno.EMFILE)
-            reader, writer = await asyncio.open_connection(*here.ingress.address)
+def test_the_accept_delay_is_deducted_from_the_request_that_waited_and_no_other(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with scene(tmp_path) as running:
+            running.shim.give("accept", errno.EMFILE)
+            reader, writer = await asyncio.open_connection(*running.ingress.address)
             writer.write(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-            await here.given("accept", 3)
+            await running.wait_for_fault("accept", 3)
             await asyncio.sleep(0.4)
-            here.shim.stop("accept")
+            running.shim.stop("accept")
             for request in (b"", harness.request("GET", "/stock-check", name="asks-next")):
                 writer.write(request)
-                assert b" 200 " in await asyncio.wait_for(harness.read_request(reader), ANSWERED)
+                assert b" 200 " in await asyncio.wait_for(harness.read_request(reader), ANSWER_TIMEOUT)
             writer.close()
-            (request,) = here.node.requests
-            assert float(LEFT.search(request)[1]) > 0.9  # type: ignore[index]
+            (request,) = running.server.requests
+            assert float(TIME_LEFT.search(request)[1]) > 0.9  # type: ignore[index]
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_clients_behind_a_failing_accept_are_answered_when_it_is_asked_to_stop(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            here.shim.give("accept", errno.EMFILE)
-            waiting = asyncio.create_task(here.place("waits"))
-            await here.given("accept", 3)
-            here.ingress.process.send_signal(signal.SIGTERM)
+    async def scenario() -> None:
+        async with scene(tmp_path) as running:
+            running.shim.give("accept", errno.EMFILE)
+            waiting = asyncio.create_task(running.send_place("waits"))
+            await running.wait_for_fault("accept", 3)
+            running.ingress.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(1.0)  # past the time in which it accepts
-            here.shim.stop("accept")
+            running.shim.stop("accept")
             assert await waiting == 200
-            assert await asyncio.wait_for(here.ingress.process.wait(), ANSWERED) == 0
+            assert await asyncio.wait_for(running.ingress.process.wait(), ANSWER_TIMEOUT) == 0
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 @pytest.mark.parametrize("call", ["socket", "connect"])
 @pytest.mark.parametrize("error", ["EADDRNOTAVAIL", "ENETUNREACH", "EMFILE", "ENOBUFS", "ENOMEM"])
-def test_a_server_that_cannot_be_dialled_for_a_moment_fails_no_process(
+def test_a_server_that_cannot_be_connected_to_for_a_moment_fails_no_process(
     call: str, error: str, tmp_path: Path
 ) -> None:
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            here.shim.give(call, getattr(errno, error))
-            assert await here.check("without") in (429, 502, 504)
-            await here.given(call)
-            here.shim.stop(call)
-            async with asyncio.timeout(ANSWERED):
-                while await here.check(f"after-{time.monotonic_ns()}") != 200:
+    async def scenario() -> None:
+        async with scene(tmp_path) as running:
+            running.shim.give(call, getattr(errno, error))
+            assert await running.send_check("without") in (429, 502, 504)
+            await running.wait_for_fault(call)
+            running.shim.stop(call)
+            async with asyncio.timeout(ANSWER_TIMEOUT):
+                while await running.send_check(f"after-{time.monotonic_ns()}") != 200:
                     await asyncio.sleep(0.05)
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_short_reads_and_writes_change_no_answer(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            here.shim.give("short_read", 7)
-            here.shim.give("short_write", 5)
-            here.shim.give("accept", errno.EINTR, percent=60)
-            here.shim.give("read", errno.EINTR, percent=20)
-            here.shim.give("write", errno.EINTR, percent=20)
+    async def scenario() -> None:
+        async with scene(tmp_path) as running:
+            running.shim.give("short_read", 7)
+            running.shim.give("short_write", 5)
+            running.shim.give("accept", errno.EINTR, percent=60)
+            running.shim.give("read", errno.EINTR, percent=20)
+            running.shim.give("write", errno.EINTR, percent=20)
             for n in range(8):
-                assert await here.check(f"piecewise-{n}") == 200
+                assert await running.send_check(f"piecewise-{n}") == 200
             for fault in ("short_read", "short_write", "accept", "read", "write"):
-                await here.given(fault)
+                await running.wait_for_fault(fault)
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"])
 def test_connections_that_break_end_alone(error: str, tmp_path: Path) -> None:
-    async def play() -> None:
-        async with scene(tmp_path) as here:
-            here.shim.give("read", getattr(errno, error))
+    async def scenario() -> None:
+        async with scene(tmp_path) as running:
+            running.shim.give("read", getattr(errno, error))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await here.check("broken")
-            await here.given("read")
-            here.shim.stop("read")
-            async with asyncio.timeout(ANSWERED):
-                while await here.check(f"after-{time.monotonic_ns()}") != 200:
+                await running.send_check("broken")
+            await running.wait_for_fault("read")
+            running.shim.stop("read")
+            async with asyncio.timeout(ANSWER_TIMEOUT):
+                while await running.send_check(f"after-{time.monotonic_ns()}") != 200:
                     await asyncio.sleep(0.05)
-            assert not [r for r in here.node.requests if b"broken" in r]
+            assert not [r for r in running.server.requests if b"broken" in r]
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_the_library_gives_what_it_says(tmp_path: Path) -> None:
+def test_the_preloaded_library_injects_the_faults_it_is_told(tmp_path: Path) -> None:
     shim = Shim(str(tmp_path))
     shim.give("folder", errno.ENOSPC)
     shim.give("wall_clock", 3600)
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -11,170 +11,169 @@
 
 from opalgauge.handover import messages, record
 from opalgauge.handover.link import SOCKET_NAME, HandoverLink
-from opalgauge.memory import effects as fx
-from opalgauge.memory import events as ev
+from opalgauge.memory import effects, events
 from tests import harness
-from tests.kill_scene import Scene, scene
+from tests.kill_scene import KillScene, scene
 from tests.reducer_rig import CHECK, START, ReducerRig
 
 STOPPED_ACCEPTING = b"no more connections, another process takes them"
-AT = record.ClockReading(START, START - START)
-BAN = ev.BanStatus("s-1", 7, True, START)
+CLOCKS = record.ClockReading(START, START - START)
+BAN = events.BanStatus("s-1", 7, True, START)
 
 
-async def has_recorded(ingress: harness.Ingress, words: bytes) -> None:
+async def wait_for_record(ingress: harness.Ingress, text: bytes) -> None:
     """Until a process's record holds these words."""
     async with asyncio.timeout(20):
-        while words not in await ingress.call(b"record\n"):
+        while text not in await ingress.call(b"record\n"):
             await asyncio.sleep(0.01)
 
 
-async def status_of_a_new_client(here: Scene) -> int:
-    client = await here.open("warm-new")
-    client.follow()
-    here.place("warm-new")
+async def new_client_status(running: KillScene) -> int:
+    client = await running.open_client("warm-new")
+    client.start_reading()
+    running.send_request("warm-new")
     async with asyncio.timeout(2):
-        while not client.is_whole():
+        while not client.is_complete():
             await asyncio.sleep(0.01)
     return client.status
 
 
 def test_the_old_process_accepts_again_when_the_new_one_dies() -> None:
-    async def play() -> None:
-        async with scene(3.0, successor=True) as (here, second):
-            await here.connect("kept")  # by which the old process stays
+    async def scenario() -> None:
+        async with scene(3.0, successor=True) as (running, second):
+            await running.connect("kept")  # by which the old process stays
             async with second as new:
-                stop = here.stop()
-                await has_recorded(here.ingress, STOPPED_ACCEPTING)
+                termination = running.terminate()
+                await wait_for_record(running.ingress, STOPPED_ACCEPTING)
                 new.process.send_signal(signal.SIGKILL)
                 await new.process.wait()
-            assert await status_of_a_new_client(here) == 200
-            await stop.end()
+            assert await new_client_status(running) == 200
+            await termination.finish()
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 @pytest.mark.parametrize("first", ["old", "new"])
 def test_both_processes_are_asked_to_stop_and_clients_are_still_accepted(first: str) -> None:
-    async def play() -> None:
-        async with scene(3.0, successor=True) as (here, second):
-            await here.connect("kept")
+    async def scenario() -> None:
+        async with scene(3.0, successor=True) as (running, second):
+            await running.connect("kept")
             async with second as new:
-                order = (here.ingress, new) if first == "old" else (new, here.ingress)
+                order = (running.ingress, new) if first == "old" else (new, running.ingress)
                 order[0].process.send_signal(signal.SIGTERM)
-                await has_recorded(order[0], STOPPED_ACCEPTING)
+                await wait_for_record(order[0], STOPPED_ACCEPTING)
                 order[1].process.send_signal(signal.SIGTERM)
-                assert await status_of_a_new_client(here) == 200
-            here.ingress.process.send_signal(signal.SIGKILL)
+                assert await new_client_status(running) == 200
+            running.ingress.process.send_signal(signal.SIGKILL)
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_a_new_process_that_is_not_ready_takes_nobody_s_clients_away() -> None:
-    async def play() -> None:
-        async with scene(3.0, successor=True) as (here, _):
-            await here.connect("kept")
+def test_a_new_process_that_is_not_ready_takes_over_no_clients() -> None:
+    async def scenario() -> None:
+        async with scene(3.0, successor=True) as (running, _):
+            await running.connect("kept")
             # One that hangs behind its first line: it is there, and does not serve.
-            _, hanging = await asyncio.open_unix_connection(Path(here.parties[4]) / SOCKET_NAME)
+            _, hanging = await asyncio.open_unix_connection(Path(running.ingress_arguments[4]) / SOCKET_NAME)
             hanging.write(record.encode_hello(record.Identity.of("n0", "hangs")))
-            await has_recorded(here.ingress, b"2 processes of this ingress")
-            stop = here.stop()
-            await has_recorded(here.ingress, b"asked to stop, successor False")
-            assert await status_of_a_new_client(here) == 200
-            await stop.end()
+            await wait_for_record(running.ingress, b"2 processes of this ingress")
+            termination = running.terminate()
+            await wait_for_record(running.ingress, b"asked to stop, successor False")
+            assert await new_client_status(running) == 200
+            await termination.finish()
             hanging.close()
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_a_ban_that_cannot_be_written_reaches_the_other_process() -> None:
-    async def play() -> None:
-        async with scene(3.0, successor=True) as (here, second), second as new:
-            folder = Path(here.parties[4])
+    async def scenario() -> None:
+        async with scene(3.0, successor=True) as (running, second), second as new:
+            folder = Path(running.ingress_arguments[4])
             (folder / "opalgauge.marks.new").mkdir()  # it cannot be written while this stands here
-            assert (await here.ingress.call(b"maint-on s-1\n")).startswith(b"200")
+            assert (await running.ingress.call(b"maint-on s-1\n")).startswith(b"200")
             async with asyncio.timeout(20):
                 while b"skipped_backends=1" not in await new.call(b"stats\n"):
                     await asyncio.sleep(0.01)
             assert not (folder / "opalgauge.marks").exists()
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 # --- the reducer -------------------------------------------------------------------------------------------
-def draining(successor: bool = True) -> ReducerRig:
+def draining_rig(successor: bool = True) -> ReducerRig:
     rig = ReducerRig()
-    rig.step(ev.ClientConnected(1))
+    rig.step(events.ClientConnected(1))
     rig.admit(CHECK)
-    rig.step(ev.OtherProcessAccepting(successor))
-    rig.step(ev.DrainRequested(successor))
+    rig.step(events.OtherProcessAccepting(successor))
+    rig.step(events.DrainRequested(successor))
     return rig
 
 
 def test_clients_are_accepted_again_only_while_there_is_time_to_answer_them() -> None:
-    rig = draining()
-    rig.step(ev.OtherProcessAccepting(False))
-    assert fx.ResumeAccepting() in rig.effects
-    late = draining()
+    rig = draining_rig()
+    rig.step(events.OtherProcessAccepting(False))
+    assert effects.ResumeAccepting() in rig.effects
+    late = draining_rig()
     assert late.reducer.state.drain_schedule is not None
     late.now = late.reducer.state.drain_schedule.close_idle
-    late.step(ev.WakeUpDue())
-    late.step(ev.OtherProcessAccepting(False))
-    assert fx.ResumeAccepting() not in late.effects
-    alone = draining(successor=False)
-    alone.step(ev.OtherProcessAccepting(False))
-    assert fx.ResumeAccepting() not in alone.effects
+    late.step(events.WakeUpDue())
+    late.step(events.OtherProcessAccepting(False))
+    assert effects.ResumeAccepting() not in late.effects
+    alone = draining_rig(successor=False)
+    alone.step(events.OtherProcessAccepting(False))
+    assert effects.ResumeAccepting() not in alone.effects
 
 
-def test_bans_of_the_other_process_are_kept_once() -> None:
+def test_bans_of_the_other_process_are_persisted_once() -> None:
     rig = ReducerRig()
-    rig.step(ev.BansReceived((BAN,), persist=True))
-    assert sum(isinstance(e, fx.PersistBans) for e in rig.effects) == 1
-    rig.step(ev.BansReceived((BAN,), persist=True))
-    assert sum(isinstance(e, fx.PersistBans) for e in rig.effects) == 1
+    rig.step(events.BansReceived((BAN,), persist=True))
+    assert sum(isinstance(e, effects.PersistBans) for e in rig.effects) == 1
+    rig.step(events.BansReceived((BAN,), persist=True))
+    assert sum(isinstance(e, effects.PersistBans) for e in rig.effects) == 1
 
 
 # --- the link ----------------------------------------------------------------------------------------------
-def test_two_processes_hear_whether_the_other_serves_and_what_it_bans(tmp_path: Path) -> None:
-    async def play() -> None:
-        heard: dict[str, list[ev.Event]] = {"old": [], "new": [], "third": []}
+def test_two_processes_learn_whether_the_other_serves_and_its_bans(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        reported: dict[str, list[events.Event]] = {"old": [], "new": [], "third": []}
 
         def link(name: str) -> HandoverLink:
-            made = HandoverLink(str(tmp_path), dict, lambda: AT, lambda _: None)
-            made.attach(heard[name].append)
-            return made
+            new_link = HandoverLink(str(tmp_path), dict, lambda: CLOCKS, lambda _: None)
+            new_link.attach(reported[name].append)
+            return new_link
 
-        async def until(name: str, event: ev.Event) -> None:
+        async def until(name: str, event: events.Event) -> None:
             async with asyncio.timeout(10):
-                while event not in heard[name]:
+                while event not in reported[name]:
                     await asyncio.sleep(0.001)
-            heard[name].remove(event)
+            reported[name].remove(event)
 
         old, new, third = link("old"), link("new"), link("third")
         await old.start()
         old.send_serving(True)
         await new.start()
-        await until("new", ev.OtherProcessAccepting(True))
-        assert ev.OtherProcessAccepting(True) not in heard["old"], "it is not ready"
+        await until("new", events.OtherProcessAccepting(True))
+        assert events.OtherProcessAccepting(True) not in reported["old"], "it is not ready"
         new.send_serving(True)
-        await until("old", ev.OtherProcessAccepting(True))
+        await until("old", events.OtherProcessAccepting(True))
         new.send_bans((BAN,))
-        await until("old", ev.BansReceived((BAN,), persist=True))
+        await until("old", events.BansReceived((BAN,), persist=True))
         await third.start()
         third.send_serving(True)
         new.send_serving(False)
         third.close()
-        await until("old", ev.OtherProcessAccepting(False))
+        await until("old", events.OtherProcessAccepting(False))
         old.close()
-        await until("new", ev.OtherProcessAccepting(False))
+        await until("new", events.OtherProcessAccepting(False))
         new.close()
 
-    asyncio.run(asyncio.wait_for(play(), 30))
+    asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-def test_telling_a_process_that_has_just_ended_does_no_harm(tmp_path: Path) -> None:
+def test_sending_to_a_process_that_has_just_ended_does_no_harm(tmp_path: Path) -> None:
     # The soak found it: a start that was told nothing raised when it said that it serves, and crashed.
-    async def play() -> None:
+    async def scenario() -> None:
         gone = asyncio.Event()
 
         async def old(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -182,7 +181,7 @@
             gone.set()
 
         async with await asyncio.start_unix_server(old, str(tmp_path / SOCKET_NAME)) as server:
-            new = HandoverLink(str(tmp_path), dict, lambda: AT, lambda _: None)
+            new = HandoverLink(str(tmp_path), dict, lambda: CLOCKS, lambda _: None)
             await new.start()
             await gone.wait()
             assert new.predecessor is not None
@@ -194,17 +193,17 @@
             new.close()
             server.close()
 
-    uvloop.run(asyncio.wait_for(play(), 20))
+    uvloop.run(asyncio.wait_for(scenario(), 20))
 
 
 @pytest.mark.parametrize(
     "line", [b"", b"{", b"[]\n", b'{"serving":1}\n', b'{"bans":[[1]]}\n', b'{"later":{}}\n', b"[" * 100_000]
 )
-def test_a_line_of_another_version_is_passed_over(line: bytes) -> None:
+def test_an_unknown_message_is_ignored(line: bytes) -> None:
     assert messages.decode(line) is None
 
 
-def test_what_is_told_is_read_back() -> None:
+def test_messages_are_decoded_as_they_were_encoded() -> None:
     for message in (
         messages.Serving(True),
         messages.Serving(False),
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -23,14 +23,14 @@
 from opalgauge.wire.clients import RequestCatalog, parse_request
 from opalgauge.wire.server_list import ServerListReader, encode_list_request, server_id_for
 from opalgauge.wire.upstream import Reply
-from starlinggap import interface as i
+from starlinggap import interface
 from tests.harness import ROOT, SETTINGS
 
-HOST = {"host": "s-5be2a07c", "dial": "127.0.0.9:5000", "site": "bat-b", "block": 3,
+LISTED_HOST = {"host": "s-5be2a07c", "dial": "127.0.0.9:5000", "site": "bat-b", "block": 3,
         "health": "terminating", "share": 1.5, "born_ms": 1500}  # fmt: skip
 
 
-def reply(status: int, body: bytes = b"", **headers: str) -> Reply:
+def make_reply(status: int, body: bytes = b"", **headers: str) -> Reply:
     from unittest.mock import Mock
 
     head = Mock(spec=RawResponseMessage)
@@ -38,9 +38,11 @@
     return Reply(status, head, body, True)
 
 
-def test_an_attempt_states_its_time_and_changes_nothing_else() -> None:
-    errand = HttpRequest("POST", "/place-order?a=%2F", "abc", (("Content-Type", "text/x"),), b"\x00\xff")
-    assert server_codec.encode_attempt(errand, timedelta(milliseconds=480)) == (
+def test_an_attempt_states_its_time_left_and_changes_nothing_else() -> None:
+    http_request = HttpRequest(
+        "POST", "/place-order?a=%2F", "abc", (("Content-Type", "text/x"),), b"\x00\xff"
+    )
+    assert server_codec.encode_attempt(http_request, timedelta(milliseconds=480)) == (
         b"POST /place-order?a=%2F HTTP/1.1\r\nHost: stock-node\r\nX-Correlation-Id: abc\r\n"
         b"X-Time-Left: 0.480\r\nContent-Type: text/x\r\nContent-Length: 2\r\n\r\n\x00\xff"
     )
@@ -49,26 +51,37 @@
 @pytest.mark.parametrize(
     ("status", "unprocessed", "end"),
     [
-        (200, "", i.End.OK), (500, "", i.End.ERROR), (503, "1", i.End.REJECTED), (504, "1", i.End.REJECTED),
-        (503, "", i.End.ERROR), (500, "1", i.End.ERROR), (404, "", i.End.ERROR),
+        (200, "", interface.End.OK),
+        (500, "", interface.End.ERROR),
+        (503, "1", interface.End.REJECTED),
+        (504, "1", interface.End.REJECTED),
+        (503, "", interface.End.ERROR),
+        (500, "1", interface.End.ERROR),
+        (404, "", interface.End.ERROR),
     ],
-)  # fmt: skip
-def test_only_a_marked_answer_says_that_nothing_ran(status: int, unprocessed: str, end: i.End) -> None:
-    answered = server_codec.parse_attempt_reply(1, reply(status, X_Unprocessed=unprocessed))
+)
+def test_only_a_marked_answer_says_that_nothing_ran(
+    status: int, unprocessed: str, end: interface.End
+) -> None:
+    answered = server_codec.parse_attempt_reply(1, make_reply(status, X_Unprocessed=unprocessed))
     assert answered.end is end
 
 
 @pytest.mark.parametrize(
-    ("told", "units"),
+    ("header", "units"),
     [("3", 3.0), ("1.5", 1.5), ("", None), ("0", None), ("-2", None), ("nan", None), ("1e9", None)],
 )
-def test_a_node_says_what_a_request_took_and_nonsense_there_is_none(told: str, units: float | None) -> None:
-    assert server_codec.parse_attempt_reply(1, reply(200, b"done", X_Cost_Units=told)).true_units == units
-    assert server_codec.parse_stream_start(1, reply(200, X_Cost_Units=told), 9).true_units == units
-    assert server_codec.parse_attempt_reply(1, reply(500, X_Cost_Units=told)).true_units is None
+def test_a_server_states_the_units_of_a_request_and_nonsense_is_ignored(
+    header: str, units: float | None
+) -> None:
+    assert (
+        server_codec.parse_attempt_reply(1, make_reply(200, b"done", X_Cost_Units=header)).true_units == units
+    )
+    assert server_codec.parse_stream_start(1, make_reply(200, X_Cost_Units=header), 9).true_units == units
+    assert server_codec.parse_attempt_reply(1, make_reply(500, X_Cost_Units=header)).true_units is None
 
 
-def test_load_reports_are_read_and_nonsense_in_them_left_out() -> None:
+def test_load_reports_are_parsed_and_nonsense_in_them_ignored() -> None:
     assert server_codec.parse_load_report(
         "inflight=7, util=0.61,latency_ms=x,=,new=3,qps=nan,eps=-1,queue=inf"
     ) == {"inflight": 7.0, "util": 0.61}
@@ -77,13 +90,13 @@
 @pytest.mark.parametrize(
     ("status", "body", "end", "load"),
     [
-        (200, b"util=0.5", i.End.OK, {"util": 0.5}),
-        (503, b"", i.End.REJECTED, {}),
-        (404, b"", i.End.ERROR, {}),
+        (200, b"util=0.5", interface.End.OK, {"util": 0.5}),
+        (503, b"", interface.End.REJECTED, {}),
+        (404, b"", interface.End.ERROR, {}),
     ],
 )
-def test_probe_answers(status: int, body: bytes, end: i.End, load: dict[str, float]) -> None:
-    answered = server_codec.parse_probe_reply(1, reply(status, body))
+def test_probe_answers(status: int, body: bytes, end: interface.End, load: dict[str, float]) -> None:
+    answered = server_codec.parse_probe_reply(1, make_reply(status, body))
     assert (answered.end, answered.load) == (end, load)
 
 
@@ -91,37 +104,40 @@
     ("amount", "by"),
     [(2.0, "2"), (-2.5, "-2.5"), (0.0, "0"), (1e-9, "0"), (1 / 3, "0.333333"), (1e12, "1000000000")],
 )
-def test_counter_calls_are_plain_decimals_within_bounds(amount: float, by: str) -> None:
-    line = quota_counter.encode_call(0xAB, amount, timedelta(hours=1)).split(b"\r\n")[0].decode()
-    assert line == f"POST /counters/ab?by={by}&expire_ms=60000 HTTP/1.1"
+def test_counter_amounts_are_plain_decimals_within_bounds(amount: float, by: str) -> None:
+    first_line = quota_counter.encode_call(0xAB, amount, timedelta(hours=1)).split(b"\r\n")[0].decode()
+    assert first_line == f"POST /counters/ab?by={by}&expire_ms=60000 HTTP/1.1"
 
 
 @pytest.mark.parametrize(
     ("answer", "end", "total"),
     [
-        (reply(200, b"12.5"), i.End.OK, 12.5), (reply(503), i.End.REJECTED, 0.0),
-        (reply(404), i.End.REJECTED, 0.0),
-        *[(reply(200, b), i.End.ERROR, 0.0) for b in (b"", b"plenty", b"inf", b"nan", b"1e", b"0x1", b"1_0")],
-        (reply(500), i.End.ERROR, 0.0), (reply(200, b"-1.5e3"), i.End.OK, -1500.0),
+        (make_reply(200, b"12.5"), interface.End.OK, 12.5), (make_reply(503), interface.End.REJECTED, 0.0),
+        (make_reply(404), interface.End.REJECTED, 0.0),
+        *[
+            (make_reply(200, b), interface.End.ERROR, 0.0)
+            for b in (b"", b"plenty", b"inf", b"nan", b"1e", b"0x1", b"1_0")
+        ],
+        (make_reply(500), interface.End.ERROR, 0.0), (make_reply(200, b"-1.5e3"), interface.End.OK, -1500.0),
     ],
 )  # fmt: skip
-def test_counter_answers(answer: Reply, end: i.End, total: float) -> None:
-    told = quota_counter.parse_total(1, answer)
-    assert (told.end, told.total) == (end, total)
+def test_counter_answers(answer: Reply, end: interface.End, total: float) -> None:
+    event = quota_counter.parse_total(1, answer)
+    assert (event.end, event.total) == (end, total)
     # Where it cannot be read the connection is of no further use, whatever its headers say.
-    assert told.keep_alive is (end is not i.End.ERROR)
+    assert event.keep_alive is (end is not interface.End.ERROR)
 
 
-def test_the_node_list_is_read_in_the_deployments_words() -> None:
+def test_the_server_list_is_read_with_the_zones_of_the_deployment() -> None:
     reader = ServerListReader(("bat-a", "bat-b"))
-    told = reader.parse_reply(
-        1, reply(200, json.dumps({"seq": 43, "whole": False, "hosts": [HOST]}).encode())
+    event = reader.parse_reply(
+        1, make_reply(200, json.dumps({"seq": 43, "whole": False, "hosts": [LISTED_HOST]}).encode())
     )
-    assert (told.version, told.list_kind) == (43, i.ListKind.CHANGES)
-    assert told.servers is not None
-    assert told.servers[0].address == "127.0.0.9:5000"
-    assert told.servers[0].entry == i.ServerEntry(
-        server_id_for("s-5be2a07c"), i.Health.DRAINING, zone=1, cell=3, started=1.5, weight=1.5
+    assert (event.version, event.list_kind) == (43, interface.ListKind.CHANGES)
+    assert event.servers is not None
+    assert event.servers[0].address == "127.0.0.9:5000"
+    assert event.servers[0].entry == interface.ServerEntry(
+        server_id_for("s-5be2a07c"), interface.Health.DRAINING, zone=1, cell=3, started=1.5, weight=1.5
     )
     assert server_id_for("s-5be2a07c") != server_id_for("s-5be2a07d")
     assert encode_list_request(43, timedelta(seconds=20)).startswith(
@@ -133,8 +149,8 @@
     "body",
     [b"{}", b'{"seq":1,"whole":true,"hosts":[7]}', b'{"seq":1,"whole":true,"hosts":[{}]}', b"\xff"],
 )
-def test_an_unreadable_node_list_is_said_to_be_so(body: bytes) -> None:
-    assert ServerListReader(()).parse_reply(1, reply(200, body)).servers is None
+def test_an_unreadable_server_list_is_reported_as_such(body: bytes) -> None:
+    assert ServerListReader(()).parse_reply(1, make_reply(200, body)).servers is None
 
 
 def test_settings_flatten_to_the_lines_that_the_module_reads() -> None:
@@ -142,15 +158,15 @@
     assert lines == ["a.b=true", "a.c=1,x_y", "rows.count=1", "rows.0.n=1.5", "none="]
 
 
-def told(**changes: Any) -> dict[str, Any]:
+def make_config_content(**changes: Any) -> dict[str, Any]:
     return {"name": "n0", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:8500", "seed": "8c1f",
             "counter": "127.0.0.1:6400", "limits": {"sockets": 1024}, "settings": SETTINGS,
-            "known": {"seq": 41, "whole": True, "hosts": [HOST]}, **changes}  # fmt: skip
+            "known": {"seq": 41, "whole": True, "hosts": [LISTED_HOST]}, **changes}  # fmt: skip
 
 
-def test_a_configuration_becomes_the_figures_of_the_house() -> None:
-    config = make_config(told(), {})
-    assert config.house.settings.classes[1].idempotency is i.Idempotency.UNSAFE
+def test_a_configuration_becomes_the_ingress_config() -> None:
+    config = make_config(make_config_content(), {})
+    assert config.house.settings.classes[1].idempotency is interface.Idempotency.UNSAFE
     assert config.house.server_idle_timeout < timedelta(seconds=15)
     assert config.house.known_list_version == 41 and len(config.house.known_servers) == 1
     assert config.house.max_server_connections + config.house.max_requests < 1024
@@ -160,9 +176,9 @@
 @pytest.mark.parametrize(
     "bad", [{"settings": {}}, {"listen": "nowhere"}, {"seed": "xyz"}, {"known": {"hosts": [1]}}]
 )
-def test_a_configuration_that_cannot_be_used_is_said_in_one_line(bad: dict[str, Any]) -> None:
+def test_an_unusable_configuration_is_reported_in_one_line(bad: dict[str, Any]) -> None:
     with pytest.raises(ConfigError) as error:
-        make_config(told(**bad), {})
+        make_config(make_config_content(**bad), {})
     assert "\n" not in str(error.value)
 
 
@@ -171,8 +187,8 @@
     assert HttpResponseParser.__module__ == "aiohttp._http_parser"
 
 
-def test_a_keyed_order_reaches_the_stock_node_with_its_key() -> None:
-    trade = RequestCatalog([("view-sub", True), ("place-order", False)], ["starter"], 6.0, 3)
+def test_a_keyed_request_reaches_the_server_with_its_key() -> None:
+    catalog = RequestCatalog([("view-sub", True), ("place-order", False)], ["starter"], 6.0, 3)
     request = make_mocked_request(
         "POST", "/place-order/7?x=1",
         headers={
@@ -180,8 +196,8 @@
             "X-Time-Left": "0.480", "Idempotency-Key": "5c0f6e1a", "X-Call-Terms": "units=2,spread=3,first=1",
         },
     )  # fmt: skip
-    order = parse_request(request, 1, 1, b"{}", trade)
-    sent = server_codec.encode_attempt(order.http_request, timedelta(milliseconds=400))
+    received = parse_request(request, 1, 1, b"{}", catalog)
+    sent = server_codec.encode_attempt(received.http_request, timedelta(milliseconds=400))
     assert b"\r\nIdempotency-Key: 5c0f6e1a\r\n" in sent and sent.startswith(b"POST /place-order/7?x=1 ")
 
 
@@ -205,7 +221,7 @@
 @pytest.mark.parametrize("field", CONTRADICTIONS)
 def test_settings_that_contradict_themselves_end_a_start_with_one_line(field: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(settings={**SETTINGS, **CONTRADICTIONS[field]})))
+    path.write_text(json.dumps(make_config_content(settings={**SETTINGS, **CONTRADICTIONS[field]})))
     environ = {**os.environ, "BALANCER_CONFIG": str(path)}
     ended = subprocess.run(
         [sys.executable, "-m", "opalgauge"], cwd=ROOT, env=environ, capture_output=True, text=True, timeout=60
@@ -215,89 +231,117 @@
     assert line.startswith("opalgauge: cannot start: ") and field in line
 
 
-FIGURES = st.floats(0.01, 1e4, allow_nan=False)
+NUMBERS = st.floats(0.01, 1e4, allow_nan=False)
 NAMES = st.text("abcdefghijklmnopqrstuvwxyz-", min_size=1, max_size=12)
-EFFECTS = {"retryable": i.Idempotency.SAFE, "dedup": i.Idempotency.KEYED, "fragile": i.Idempotency.UNSAFE}
+IDEMPOTENCY = {
+    "retryable": interface.Idempotency.SAFE,
+    "dedup": interface.Idempotency.KEYED,
+    "fragile": interface.Idempotency.UNSAFE,
+}
 CLASSES = st.lists(
     st.fixed_dictionaries({
-        "name": NAMES, "aim": FIGURES, "deadline": FIGURES, "credit": FIGURES, "late_value": FIGURES,
-        "effect": st.sampled_from(list(EFFECTS)), "window": FIGURES,
+        "name": NAMES, "aim": NUMBERS, "deadline": NUMBERS, "credit": NUMBERS, "late_value": NUMBERS,
+        "effect": st.sampled_from(list(IDEMPOTENCY)), "window": NUMBERS,
         "group": st.sampled_from(["all", "zone", "cell"]),
     }),
     min_size=1, max_size=5, unique_by=lambda c: c["name"],
 )  # fmt: skip
 PLANS = st.lists(
     st.fixed_dictionaries({
-        "name": NAMES, "quota_rate": FIGURES, "most_at_once": FIGURES, "pays": FIGURES,
-        "extra_worth": FIGURES, "excess_cost": FIGURES, "cap_rate": FIGURES,
-        "never_over_depth": FIGURES, "hard_slack": FIGURES,
+        "name": NAMES, "quota_rate": NUMBERS, "most_at_once": NUMBERS, "pays": NUMBERS,
+        "extra_worth": NUMBERS, "excess_cost": NUMBERS, "cap_rate": NUMBERS,
+        "never_over_depth": NUMBERS, "hard_slack": NUMBERS,
     }),
     min_size=1, max_size=5, unique_by=lambda p: p["name"],
 )  # fmt: skip
 DEPLOYMENTS = st.fixed_dictionaries({
-    "balancers": st.integers(3, 300), "me": st.integers(0, 2), "tick": FIGURES, "zone": st.integers(0, 3),
+    "balancers": st.integers(3, 300), "me": st.integers(0, 2), "tick": NUMBERS, "zone": st.integers(0, 3),
     "zones": st.lists(NAMES, max_size=4, unique=True), "classes": CLASSES, "tiers_of_service": PLANS,
     "domain": st.fixed_dictionaries({
-        "shared_counter": st.booleans(), "counter_timeout": FIGURES, "units_top": FIGURES,
-        "trued_up": st.booleans(), "meter_period": FIGURES,
+        "shared_counter": st.booleans(), "counter_timeout": NUMBERS, "units_top": NUMBERS,
+        "trued_up": st.booleans(), "meter_period": NUMBERS,
     }),
     "ceilings": st.fixed_dictionaries({
         "try_limit": st.integers(1, 9), "cancelling": st.booleans(), "parallel_tries": st.booleans(),
-        "probes": st.booleans(), "conn_idle": FIGURES, "dial_timeout": FIGURES, "max_retry_after": FIGURES,
+        "probes": st.booleans(), "conn_idle": NUMBERS, "dial_timeout": NUMBERS, "max_retry_after": NUMBERS,
     }),
     "invariants": st.fixed_dictionaries({
-        "cold": FIGURES, "cold_from": FIGURES, "fall": FIGURES, "fall_multiple": FIGURES,
-        "ask_within": FIGURES,
+        "cold": NUMBERS, "cold_from": NUMBERS, "fall": NUMBERS, "fall_multiple": NUMBERS,
+        "ask_within": NUMBERS,
     }),
-    "prices": st.fixed_dictionaries({"cross_zone": FIGURES}),
+    "prices": st.fixed_dictionaries({"cross_zone": NUMBERS}),
     "discovery": st.sampled_from(["pushed", "on_request"]),
 })  # fmt: skip
 
 
 @given(DEPLOYMENTS)
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
-def test_all_that_decisions_use_is_what_this_deployment_tells(d: dict[str, Any]) -> None:
+def test_decisions_use_what_this_deployment_configures_and_nothing_else(deployment: dict[str, Any]) -> None:
     # Guards each deployment against the figures of another, and against defaults in place of what it says.
-    config = make_config(told(settings=d), {})
-    s = config.house.settings
-    domain, ceilings, rules = d["domain"], d["ceilings"], d["invariants"]
-    assert (s.gateways, s.gateway_index, s.zone, s.tick) == (d["balancers"], d["me"], d["zone"], d["tick"])
+    config = make_config(make_config_content(settings=deployment), {})
+    settings = config.house.settings
+    domain, ceilings, rules = deployment["domain"], deployment["ceilings"], deployment["invariants"]
+    assert (settings.gateways, settings.gateway_index, settings.zone, settings.tick) == (
+        deployment["balancers"],
+        deployment["me"],
+        deployment["zone"],
+        deployment["tick"],
+    )
     assert [
         (c.aim, c.deadline, c.worth, c.late_worth, c.idempotency, c.dedup_scope.value, c.dedup_window)
-        for c in s.classes
+        for c in settings.classes
     ] == [
-        (c["aim"], c["deadline"], c["credit"], c["late_value"], EFFECTS[c["effect"]], c["group"], c["window"])
-        for c in d["classes"]
+        (
+            c["aim"],
+            c["deadline"],
+            c["credit"],
+            c["late_value"],
+            IDEMPOTENCY[c["effect"]],
+            c["group"],
+            c["window"],
+        )
+        for c in deployment["classes"]
     ]
     assert [
         (p.rate, p.burst, p.price, p.over_worth, p.over_cost, p.ceiling_rate, p.ceiling_burst,
          p.ceiling_slack)
-        for p in s.plans
+        for p in settings.plans
     ] == [
         (p["quota_rate"], p["most_at_once"], p["pays"], p["extra_worth"], p["excess_cost"], p["cap_rate"],
          p["never_over_depth"], p["hard_slack"])
-        for p in d["tiers_of_service"]
+        for p in deployment["tiers_of_service"]
     ]  # fmt: skip
-    assert (s.use_counter, s.counter_timeout, s.max_units, s.charge_true_units, s.meter_period) == (
+    assert (
+        settings.use_counter, settings.counter_timeout, settings.max_units, settings.charge_true_units,
+        settings.meter_period,
+    ) == (
         domain["shared_counter"], domain["counter_timeout"], domain["units_top"], domain["trued_up"],
         domain["meter_period"],
     )  # fmt: skip
-    assert (s.max_attempts, s.allow_cancel, s.allow_parallel, s.allow_probes, s.max_retry_after) == (
+    assert (
+        settings.max_attempts, settings.allow_cancel, settings.allow_parallel, settings.allow_probes,
+        settings.max_retry_after,
+    ) == (
         ceilings["try_limit"], ceilings["cancelling"], ceilings["parallel_tries"], ceilings["probes"],
         ceilings["max_retry_after"],
     )  # fmt: skip
     assert (
-        s.slow_start_duration, s.slow_start_share, s.collapse_time, s.collapse_ratio, s.max_watch_interval,
+        settings.slow_start_duration, settings.slow_start_share, settings.collapse_time,
+        settings.collapse_ratio, settings.max_watch_interval,
     ) == (
         rules["cold"], rules["cold_from"], rules["fall"], rules["fall_multiple"], rules["ask_within"]
     )  # fmt: skip
-    assert s.cross_zone_price == d["prices"]["cross_zone"]
-    assert s.list_on_request is (d["discovery"] == "on_request")
-    assert config.zones == tuple(d["zones"])
-    assert s.idle_timeout < ceilings["conn_idle"]
+    assert settings.cross_zone_price == deployment["prices"]["cross_zone"]
+    assert settings.list_on_request is (deployment["discovery"] == "on_request")
+    assert config.zones == tuple(deployment["zones"])
+    assert settings.idle_timeout < ceilings["conn_idle"]
     assert config.house.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
     assert config.trade.classes == {
-        c["name"]: (n, "GET" if c["effect"] == "retryable" else "POST") for n, c in enumerate(d["classes"])
+        c["name"]: (n, "GET" if c["effect"] == "retryable" else "POST")
+        for n, c in enumerate(deployment["classes"])
     }
-    assert config.trade.plans == {p["name"]: n for n, p in enumerate(d["tiers_of_service"])}
-    assert (config.trade.max_units, config.trade.ingress_count) == (domain["units_top"], d["balancers"])
+    assert config.trade.plans == {p["name"]: n for n, p in enumerate(deployment["tiers_of_service"])}
+    assert (config.trade.max_units, config.trade.ingress_count) == (
+        domain["units_top"],
+        deployment["balancers"],
+    )
