--- a/opalgauge/lifecycle/config.py
+++ b/opalgauge/lifecycle/config.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from opalgauge.memory.state import IngressConfig
-from opalgauge.wire.clients import Trade
-from opalgauge.wire.node_list import read_nodes
+from opalgauge.wire.clients import RequestCatalog
+from opalgauge.wire.server_list import parse_servers
 from starlinggap.benchlink import WireError, read_settings
 from starlinggap.brain import check_settings
 from starlinggap.interface import Settings, SettingsError
@@ -56,7 +56,7 @@
     name: str
     listen: tuple[str, int]
     ingress: IngressConfig
-    trade: Trade
+    trade: RequestCatalog
     zones: tuple[str, ...]
     class_names: tuple[str, ...] = ()
     admin_address: tuple[str, int] | None = None  # where staff call; None: there is none such
@@ -150,7 +150,7 @@
                 else environ["BALANCER_DISCOVERY"]
             ),
             known_list_version=int(known.get("seq", 0)),
-            known_servers=read_nodes(known.get("hosts", ()), zones),
+            known_servers=parse_servers(known.get("hosts", ()), zones),
             dial_timeout=timedelta(seconds=DIAL_TIMEOUT_SHARE * dial_timeout),
             server_idle_timeout=server_idle_timeout,
             counter_timeout=timedelta(seconds=settings.counter_timeout),
@@ -165,7 +165,7 @@
             ingress = replace(
                 ingress, list_wait=LIST_WAIT, list_fleet_turn=fleet_turn, list_max_pause=LIST_MAX_PAUSE
             )
-        trade = Trade(
+        trade = RequestCatalog(
             [(str(c["name"]), c.get("effect") == "retryable") for c in platform_settings["classes"]],
             [str(t["name"]) for t in platform_settings["tiers_of_service"]],
             settings.max_units,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -18,7 +18,7 @@
 from tests.gateway_rig import GatewayRig, entry
 from tests.gateway_rig import settings as gateway_settings
 from tests.reducer_rig import CHECK, PLACE, START, ReducerRig, listed_server
-from tests.test_sockets import harness_with
+from tests.test_sockets import running_ingress
 
 
 @pytest.mark.parametrize(
@@ -202,7 +202,7 @@
 
 def test_admin_endpoint_of_a_running_ingress() -> None:
     async def scenario() -> None:
-        async with harness_with(lambda r, w: harness.OK) as (ingress, _, __):
+        async with running_ingress(lambda r, w: harness.OK) as (ingress, _, __):
             silent = [await asyncio.open_connection(*ingress.admin_address) for _ in range(20)]
             silent[0][1].write(b"sta")
             endless = await asyncio.open_connection(*ingress.admin_address)
@@ -230,7 +230,7 @@
 
 def test_admin_endpoint_answers_while_the_event_loop_is_busy() -> None:
     async def scenario() -> None:
-        async with harness_with(lambda r, w: harness.OK) as (ingress, _, __):
+        async with running_ingress(lambda r, w: harness.OK) as (ingress, _, __):
             clients, requests_per_client, answered = 40, 20, 0
 
             async def client(client_number: int) -> None:
--- a/tests/test_races_server_list.py
+++ b/tests/test_races_server_list.py
@@ -13,7 +13,7 @@
 import pytest
 
 from opalgauge.memory.events import AddressesChanged
-from opalgauge.wire.line import LineProtocol
+from opalgauge.wire.upstream import UpstreamConnection
 from tests.race_rig import (
     MS,
     Scene,
@@ -38,8 +38,8 @@
     return (await connection.read_request()).split(b" ")[1].decode()
 
 
-async def wait_for_drips(protocol: LineProtocol, count: int) -> None:
-    await wait_until(lambda: protocol.over or protocol.heard.endswith(b" " * count))
+async def wait_for_drips(protocol: UpstreamConnection, count: int) -> None:
+    await wait_until(lambda: protocol.closed or protocol.received.endswith(b" " * count))
 
 
 async def wait_until_closed(running: Scene, connection_id: int) -> None:
@@ -47,7 +47,7 @@
 
 
 def move_list_agent(running: Scene, address: str) -> None:
-    running.exchange.report(AddressesChanged(running.state.counter_address, address))
+    running.runtime.report(AddressesChanged(running.state.counter_address, address))
 
 
 async def assert_forwarded_to(running: Scene, server_number: int) -> None:
@@ -80,9 +80,9 @@
             received = len(ANSWER_BEGINNINGS[beginning])
             list_connection.send(ANSWER_BEGINNINGS[beginning])
             if received:
-                protocol = running.exchange.lines[running.state.list_connection_id]
+                protocol = running.runtime.connections[running.state.list_connection_id]
                 await wait_until(
-                    lambda: len(protocol.heard) >= received or protocol.halting or beginning == "only 1xx"
+                    lambda: len(protocol.received) >= received or protocol.partial or beginning == "only 1xx"
                 )
             running.pass_time(timedelta(seconds=wait) + 500 * MS)
             running.pass_time(150 * MS)
@@ -101,14 +101,14 @@
         async with scene() as running:
             list_connection, _ = await next_list_request(running)
             list_connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-            protocol = running.exchange.lines[running.state.list_connection_id]
+            protocol = running.runtime.connections[running.state.list_connection_id]
             for n in range(1, 30):
-                if running.state.list_connection_id != protocol.number or protocol.over:
+                if running.state.list_connection_id != protocol.connection_id or protocol.closed:
                     break
                 list_connection.send(b" ")
                 await wait_for_drips(protocol, n)
                 running.pass_time(60 * MS)
-            assert protocol.over and n < 25
+            assert protocol.closed and n < 25
             await next_list_request(running)
 
     run_scene(scenario)
@@ -270,8 +270,8 @@
             if state == "half a list":
                 body = json.dumps({"seq": 8, "whole": True, "hosts": [running.list_entry(0)]}).encode()
                 list_connection.send(ok_response(body)[:-5])
-                protocol = running.exchange.lines[running.state.list_connection_id]
-                await wait_until(lambda: protocol.heard)
+                protocol = running.runtime.connections[running.state.list_connection_id]
+                await wait_until(lambda: protocol.received)
             elif state == "down":
                 assert running.server_list.server is not None
                 running.server_list.server.close()
