--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -175,7 +175,9 @@
         return {**export_state(reducer.gateway), BANS_KEY: reducer.bans_for_handover()}
 
     identity = Identity.of(config.name, config.platform_settings)
-    link = HandoverLink(config.state_folder, snapshot, lambda: ClockReading(clock.now(), clock.monotonic()), log, identity)
+    link = HandoverLink(
+        config.state_folder, snapshot, lambda: ClockReading(clock.now(), clock.monotonic()), log, identity
+    )
     await link.start()
     if abs(link.clock_offset) >= MIN_CLOCK_STEP:
         clock.shift(link.clock_offset)
