--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -188,6 +188,7 @@
         return self.actions
 
     def set_timer(self, delay: float, call: CounterCall | None) -> None:
+        """Sets a timer (s from now) for a counter call, or for housekeeping if `call` is None."""
         self.last_token += 1
         self.timers[self.last_token] = call
         self.actions.append(interface.Timer(self.now + delay, self.last_token))
@@ -516,6 +517,7 @@
         return min(self.warm_share(server), self.zone_share(server))
 
     def warm_share(self, server: Server) -> float:
+        """The share of its capacity that slow start allows, since its start or a lifted ban; 1: warm."""
         return self.slow_start.share(max(server.started_at, server.returned_at), self.now)
 
     def slowness(self, server: Server) -> float:
@@ -828,6 +830,7 @@
         return req.cls.idempotency is Idempotency.KEYED and req.cls.dedup_scope is DedupScope.ALL
 
     def refuse(self, req: PendingRequest) -> None:
+        """Refuses the request, with the time after which its client may repeat it."""
         self.actions.append(interface.Refuse(req.id, self.retry_after(req)))
         self.close_request(req)
 
@@ -843,6 +846,7 @@
         self.close_request(req)
 
     def release_held(self) -> None:
+        """Sends the held requests, the oldest first, as soon as a server may be chosen."""
         while self.held and self.ready:
             self.dispatch(self.held.popitem(last=False)[1])
 
