--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -70,14 +70,16 @@
     `cleared`: not shed by overload. `capped`: charged to this gateway's part of the ceiling. `beyond`: over
     its quota. `ran`: an attempt may have run. `counted`: its units are on the counter; None: not known."""
 
-    def __init__(self, event: interface.Request, cls: interface.RequestClass, account: Account,
-                 now: float) -> None:  # fmt: skip
+    def __init__(
+        self, event: interface.Request, cls: interface.RequestClass, account: Account, now: float
+    ) -> None:
         self.id, self.event, self.cls, self.account = event.request, event, cls, account
         self.deadline = now + max(0.0, event.budget)
         self.aim = min(cls.aim, max(event.budget, HOUSEKEEPING_PERIOD))  # lower if its client is less patient
         # Less than half of the budget: a refusal that late would do harm.
-        self.held_until = min(now + HOLD_TIME * min(cls.aim, 0.8 * event.budget),
-                              self.deadline - 2 * HOUSEKEEPING_PERIOD)  # fmt: skip
+        self.held_until = min(
+            now + HOLD_TIME * min(cls.aim, 0.8 * event.budget), self.deadline - 2 * HOUSEKEEPING_PERIOD
+        )
         self.attempts: list[Attempt] = []
         self.in_flight: dict[int, int] = {}  # attempt: server
         self.ran_at, self.ran_on = math.inf, -1  # when and where the first one was sent that may have run
@@ -130,7 +132,11 @@
         # Share of requests that call the counter, as of when; below 1, the counter is taken as overloaded.
         # Whether its newest answer was quick, and the least time of a recent one.
         self.call_share, self.call_share_at, self.counter_quick, self.counter_min_time = (
-            1.0, 0.0, True, settings.counter_timeout)  # fmt: skip
+            1.0,
+            0.0,
+            True,
+            settings.counter_timeout,
+        )
         self.counter_probe_at = self.call_share_cut_at = self.counts_lost_at = -math.inf
         self.uncounted: dict[int, Account] = {}
         self.admit_shares = [1.0, 1.0]  # recently admitted by totals: of first tries, of repeats
@@ -178,8 +184,10 @@
                     self.start_timing(req, req.attempts[event.attempt])
             elif isinstance(event, interface.StreamStarted) and (req := self.requests.get(event.request)):
                 req.streaming = True
-        if (self.settings.list_on_request
-                and self.now - self.list_asked_at > self.settings.max_watch_interval / 4):  # fmt: skip
+        if (
+            self.settings.list_on_request
+            and self.now - self.list_asked_at > self.settings.max_watch_interval / 4
+        ):
             self.list_asked_at = self.now
             self.actions.append(interface.WatchList())
         if not self.housekeeping_set and (self.held or self.uncounted or self.accounts):
@@ -218,17 +226,21 @@
         cls, plan = s.classes[request.cls % len(s.classes)], s.plans[request.plan % len(s.plans)]
         if account is None:
             account = self.accounts[request.account] = Account(
-                request, plan, self.now, self.now - self.started_at)  # fmt: skip
+                request, plan, self.now, self.now - self.started_at
+            )
         self.accounts.move_to_end(request.account)
         account.advance(self.now)
         account.seen_at = self.now
         if request.account_workers != account.workers:  # its part is split over more cores, or fewer
             account.headroom *= min(1.0, account.workers / request.account_workers)
-            account.spread, account.workers = (account.spread // account.workers * request.account_workers,
-                                               request.account_workers)  # fmt: skip
+            account.spread, account.workers = (
+                account.spread // account.workers * request.account_workers,
+                request.account_workers,
+            )
         if request.exclusive_for < math.inf:  # other cores may have spent what there was before
             account.headroom = min(
-                account.headroom, plan.ceiling_rate / account.spread * request.exclusive_for)  # fmt: skip
+                account.headroom, plan.ceiling_rate / account.spread * request.exclusive_for
+            )
         req = self.requests[request.request] = PendingRequest(request, cls, account, self.now)
         self.recent_worths.append(self.worth_per_time(req))
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_RATIO)
@@ -237,8 +249,9 @@
         counter_wait = min(max(s.counter_timeout * COUNTER_WAIT_SHARE, longer), request.budget / 2 - s.tick)
         if not account.window_s:
             self.apply_decision(req, True)
-        elif (self.call_share < 1 and self.should_shed(req)
-              or self.now < account.denied_until and account.deficit + req.cost > account.limit):  # fmt: skip
+        elif (self.call_share < 1 and self.should_shed(req)) or (
+            self.now < account.denied_until and account.deficit + req.cost > account.limit
+        ):
             # Spares the counter what overload sheds, and repeats that come before the bucket has room.
             self.apply_decision(req, False)
         elif s.use_counter and counter_wait > 0 and self.calls_counter(req):
@@ -260,8 +273,9 @@
         weight = MIN_STAKE_WEIGHT + (1 - MIN_STAKE_WEIGHT) * stake / max(self.mean_stake, 1e-9)
         return self.call_share >= 1 or self.rng.random() < self.call_share * weight
 
-    def call_counter(self, account: Account, amount: float, req: PendingRequest | None,
-                     back: int = 0) -> CounterCall:  # fmt: skip
+    def call_counter(
+        self, account: Account, amount: float, req: PendingRequest | None, back: int = 0
+    ) -> CounterCall:
         """Adds `amount` to the account's total of `back` windows ago; uncounted units are added with it."""
         carried = 0.0 if back else account.uncounted
         account.uncounted -= carried
@@ -269,8 +283,9 @@
         name = counter_name(account.id, call.window)
         self.calls.setdefault(name, deque()).append(call)
         self.counter_probe_at = self.now + COUNTER_PROBE_INTERVAL * (0.5 + self.rng.random())
-        self.actions.append(interface.Count(name, amount + carried,
-                                            min(MAX_NAME_TTL, TTL_WINDOWS * account.window_s)))  # fmt: skip
+        self.actions.append(
+            interface.Count(name, amount + carried, min(MAX_NAME_TTL, TTL_WINDOWS * account.window_s))
+        )
         return call
 
     def count_later(self, account: Account, amount: float, at_once: bool = False) -> None:
@@ -303,8 +318,9 @@
             # The units were added but the total was lost: it is read, in place of the call's own answer.
             call.reread = True
             self.calls.setdefault(event.name, deque()).append(call)
-            self.actions.append(interface.Count(
-                event.name, 0.0, min(MAX_NAME_TTL, TTL_WINDOWS * account.window_s)))  # fmt: skip
+            self.actions.append(
+                interface.Count(event.name, 0.0, min(MAX_NAME_TTL, TTL_WINDOWS * account.window_s))
+            )
             return
         max_drop = 2 * self.settings.max_units * account.spread  # more than refunds in flight can explain
         # A call without an answer is taken as counted, and refunded if its request was refused.
@@ -314,10 +330,14 @@
                 self.call_failed()
             else:
                 self.counter_min_time = min(event.duration, self.counter_min_time * 1.01)
-                self.counter_quick = event.duration < max(self.settings.counter_timeout * QUICK_ANSWER_SHARE,
-                                                          2 * self.counter_min_time)  # fmt: skip
-                self.call_share = (min(1.0, max(MIN_CALL_SHARE, self.call_share + CALL_SHARE_STEP))
-                                   if self.counter_quick else self.call_share * CALL_SHARE_SLOW)  # fmt: skip
+                self.counter_quick = event.duration < max(
+                    self.settings.counter_timeout * QUICK_ANSWER_SHARE, 2 * self.counter_min_time
+                )
+                self.call_share = (
+                    min(1.0, max(MIN_CALL_SHARE, self.call_share + CALL_SHARE_STEP))
+                    if self.counter_quick
+                    else self.call_share * CALL_SHARE_SLOW
+                )
             total = self.apply_total(account, call, max(0.0, event.total), max_drop)
         else:
             if event.end not in TOTAL_LOST:  # a garbled or broken answer is no sign of overload
@@ -329,8 +349,11 @@
             waiting, account.waiting = account.waiting, []
             for waiting_req in waiting:
                 if waiting_req.undecided:
-                    (self.check_total(waiting_req, account.total - waiting_req.cost) if account.prev_known
-                     else self.decide_locally(waiting_req))  # fmt: skip
+                    (
+                        self.check_total(waiting_req, account.total - waiting_req.cost)
+                        if account.prev_known
+                        else self.decide_locally(waiting_req)
+                    )
         elif req and req.undecided and call.decided is None:
             req.counted = counted and call.amount > 0
             if math.isnan(total):
@@ -354,16 +377,24 @@
                 total = account.total + added
             others = max(0.0, increase := total - added - account.total)
             account.headroom -= account.beyond_pays * increase / account.spread  # each bears an equal part
-            keep = math.exp(-min(self.now - account.total_at, self.now - account.window * account.window_s)
-                            / (2 * account.window_s))  # fmt: skip
+            keep = math.exp(
+                -min(self.now - account.total_at, self.now - account.window * account.window_s)
+                / (2 * account.window_s)
+            )
             account.others_rate = account.others_rate * keep + others / (2 * account.window_s)
             account.deficit = max(0.0, account.deficit + others - account.assumed_units)
             account.assumed_units, account.total, account.own_units, account.total_at = (
-                0.0, total, account.own_units + added, self.now)  # fmt: skip
+                0.0,
+                total,
+                account.own_units + added,
+                self.now,
+            )
         elif call.window == account.window - 1:
             account.deficit += max(0.0, total - added - account.prev_total)
             account.prev_total, account.prev_known = (
-                max(account.prev_total, total), account.prev_known or call.request is not None)  # fmt: skip
+                max(account.prev_total, total),
+                account.prev_known or call.request is not None,
+            )
         return total
 
     def check_total(self, req: PendingRequest, before: float) -> None:
@@ -388,7 +419,10 @@
         inside = fits(used, account.limit, req.cost) or req.cost <= account.limit - account.deficit
         keep = math.exp((account.judged_at - self.now) / (3 * DECAY_TIME))
         account.judged, account.admitted, account.judged_at = (
-            account.judged * keep + 1, account.admitted * keep + inside, self.now)  # fmt: skip
+            account.judged * keep + 1,
+            account.admitted * keep + inside,
+            self.now,
+        )
         self.admit_shares[req.event.is_retry] += EWMA / 2 * (inside - self.admit_shares[req.event.is_retry])
         self.apply_decision(req, inside, by_total=True)
 
@@ -420,8 +454,10 @@
         vouched = by_total and inside and self.now - self.counts_lost_at > TTL_WINDOWS * account.window_s
         req.capped = plan.ceiling_rate > 0 and not vouched
         reserve = self.call_share * account.limit if inside else BEYOND_QUOTA_RESERVE * plan.ceiling_burst
-        needed = (req.cost + max(reserve, account.deficit * (not account.stale and not account.beyond_pays))
-                  / account.spread)  # fmt: skip
+        needed = (
+            req.cost
+            + max(reserve, account.deficit * (not account.stale and not account.beyond_pays)) / account.spread
+        )
         if not inside:
             self.refund(req)
         else:
@@ -446,8 +482,11 @@
     def retry_after(self, req: PendingRequest) -> float:
         """When the bucket will hold the cost (s); the later the more is shed, and spread out at random."""
         account = req.account
-        wait = (max(0.0, account.deficit + req.cost - account.limit) / account.plan.rate
-                if account.window_s else req.cls.aim)  # fmt: skip
+        wait = (
+            max(0.0, account.deficit + req.cost - account.limit) / account.plan.rate
+            if account.window_s
+            else req.cls.aim
+        )
         wait = max(wait, req.shed * HOLD_TIME * req.cls.aim * (1 - self.rng.random() / 2), self.settings.tick)
         return min(self.settings.max_retry_after, wait)
 
@@ -485,8 +524,9 @@
         """Cancels repeatable attempts in a zone that is left. A trial server takes the next such request."""
         self.zone_shares[event.zone] = event.share
         for req in self.requests.values() if event.share <= 0 and self.settings.allow_cancel else ():
-            for n, key in (req.in_flight.items() if req.cls.idempotency is Idempotency.SAFE
-                           and not req.final else ()):  # fmt: skip
+            for n, key in (
+                req.in_flight.items() if req.cls.idempotency is Idempotency.SAFE and not req.final else ()
+            ):
                 if key in self.servers and self.servers[key].entry.zone == event.zone:
                     self.actions.append(interface.Cancel(req.id, n))
         if (old := self.servers.get(event.trial_server)) and event.trial_server not in self.untried:
@@ -509,8 +549,10 @@
     def count_avoided(self, now: float) -> int:
         """How many listed servers get nothing now: banned, draining, or ejected for some class."""
         ready = set(self.ready)
-        return sum(key not in ready or any(failure[1] > now for failure in server.failures.values())
-                   for key, server in self.servers.items())  # fmt: skip
+        return sum(
+            key not in ready or any(failure[1] > now for failure in server.failures.values())
+            for key, server in self.servers.items()
+        )
 
     def capacity(self, server: Server) -> float:
         """The share of its capacity that a server can be given now: by slow start and by its zone."""
@@ -539,8 +581,11 @@
     def choose_server(self, req: PendingRequest, avoid: set[int]) -> int | None:
         """The better of two servers drawn at random that can take the request; None if none can."""
         cls, ready, usual = req.event.cls, self.ready, self.usual[req.event.cls % len(self.usual)]
-        if (req.ran_on >= 0 and req.cls.idempotency is Idempotency.KEYED
-                and req.cls.dedup_scope is not DedupScope.ALL):  # fmt: skip
+        if (
+            req.ran_on >= 0
+            and req.cls.idempotency is Idempotency.KEYED
+            and req.cls.dedup_scope is not DedupScope.ALL
+        ):
             ready = [k for k in ready if self.same_dedup_scope(req, k)]
         # For servers that slow down the more they hold. Drawback: may refuse where all requests take long.
         max_queued = req.cls.aim * QUEUE_AIM_SHARE * (BEYOND_QUOTA_RESERVE if req.beyond else 1.0)
@@ -576,11 +621,15 @@
         together, many or few, even or uneven, send it that part of what a warm one gets, however many are
         cold. By rejection sampling: the cost does not grow with the servers."""
         drawn = self.rng.sample(ready, min(MAX_CANDIDATES, len(ready)))
-        drawn.sort(key=lambda k: self.settings.cross_zone_price > 0
-                   and self.servers[k].entry.zone != self.settings.zone)  # fmt: skip
+        drawn.sort(
+            key=lambda k: (
+                self.settings.cross_zone_price > 0 and self.servers[k].entry.zone != self.settings.zone
+            )
+        )
         for key in self.untried:  # few requests would not reach it for long
-            if key in ready and (req.cls.idempotency is Idempotency.SAFE
-                                 or self.zone_share(self.servers[key]) > 0):  # fmt: skip
+            if key in ready and (
+                req.cls.idempotency is Idempotency.SAFE or self.zone_share(self.servers[key]) > 0
+            ):
                 return [key, *(k for k in drawn if k != key)], True
         for _ in range(MAX_CANDIDATES if drawn else 0):
             first = self.rng.choice(ready)
@@ -614,8 +663,10 @@
             return False
         if req.ran_on < 0 or req.cls.idempotency is Idempotency.SAFE:
             return True
-        return (req.cls.idempotency is Idempotency.KEYED
-                and self.now + self.settings.tick < req.ran_at + req.cls.dedup_window)  # fmt: skip
+        return (
+            req.cls.idempotency is Idempotency.KEYED
+            and self.now + self.settings.tick < req.ran_at + req.cls.dedup_window
+        )
 
     def dispatch(self, req: PendingRequest) -> None:
         """Sends an attempt, holds the request for a while if no server is listed, or gives it up."""
@@ -679,14 +730,17 @@
         req.shed = shed
         if shed > 0 and not req.beyond:
             mine = self.worth_per_time(req)
-            below = (sum(w < mine for w in self.recent_worths)
-                     + self.rng.random() * sum(w == mine for w in self.recent_worths))  # fmt: skip
+            below = sum(w < mine for w in self.recent_worths) + self.rng.random() * sum(
+                w == mine for w in self.recent_worths
+            )
             shed -= below / len(self.recent_worths)
         req.cleared = shed <= 0
         if shed > 0:
             # Keeps old observations from upholding the shedding: the more is shed, the less new is observed.
             self.answered, self.aim_ratios = (
-                self.answered + SHED_WEIGHT, self.aim_ratios + SHED_WEIGHT * SHED_START / 2)  # fmt: skip
+                self.answered + SHED_WEIGHT,
+                self.aim_ratios + SHED_WEIGHT * SHED_START / 2,
+            )
         return shed > 0
 
     def overdue_load(self) -> float:
@@ -704,7 +758,9 @@
         self.shed = min(0.95, max(0.0, self.shed + excess * dt * (SHED_RISE if excess > 0 else SHED_FALL)))
         keep = math.exp(-dt / DECAY_TIME)
         self.conn_uses, self.conn_losses = (
-            [x * keep for x in self.conn_uses], [x * keep for x in self.conn_losses])  # fmt: skip
+            [x * keep for x in self.conn_uses],
+            [x * keep for x in self.conn_losses],
+        )
         keep = math.exp(-dt / LOAD_DECAY_TIME)
         recent = self.answered, self.aim_ratios, self.late, self.overdue
         self.answered, self.aim_ratios, self.late, self.overdue = (x * keep for x in recent)
@@ -769,8 +825,11 @@
             self.close_request(req)
         elif not req.final and not req.in_flight:
             uses_budget = event.end not in (End.CONNECT_FAILED, End.ERROR)  # others may be signs of load
-            if (event.end is End.NOT_SENT or uses_budget and self.retry_budget < 1
-                    or self.now >= req.deadline - self.settings.tick):  # fmt: skip
+            if (
+                event.end is End.NOT_SENT
+                or (uses_budget and self.retry_budget < 1)
+                or self.now >= req.deadline - self.settings.tick
+            ):
                 self.give_up(req)
             else:
                 self.retry_budget -= uses_budget
@@ -792,8 +851,11 @@
                 server.slowdown += 2 * EWMA * (min(20.0, event.duration / self.usual[n]) - server.slowdown)
                 self.usual[n] += EWMA / 10 * (min(event.duration, 4 * self.usual[n]) - self.usual[n])
             if cls in server.failures:
-                server.failures[cls] = [min(EJECT_SHARE, server.failures[cls][0] * (1 - ERROR_WEIGHT)),
-                                        0.0, MIN_EJECT_TIME]  # fmt: skip
+                server.failures[cls] = [
+                    min(EJECT_SHARE, server.failures[cls][0] * (1 - ERROR_WEIGHT)),
+                    0.0,
+                    MIN_EJECT_TIME,
+                ]
         elif event.end in (End.TIMEOUT, End.REJECTED):
             server.slowdown = min(20.0, server.slowdown * 1.2)
         if event.end not in (End.ERROR, End.RESET, End.TIMEOUT, End.CONNECT_FAILED):
@@ -865,8 +927,11 @@
         while self.accounts:
             account = next(iter(self.accounts.values()))
             # By then all windows it knows are over and its part of the ceiling is full: a new one is as good.
-            if (self.now - account.seen_at < max(ACCOUNT_IDLE_TIME, TTL_WINDOWS * account.window_s)
-                    or account.open_attempts or account.waiting):  # fmt: skip
+            if (
+                self.now - account.seen_at < max(ACCOUNT_IDLE_TIME, TTL_WINDOWS * account.window_s)
+                or account.open_attempts
+                or account.waiting
+            ):
                 break
             del self.accounts[account.id]
 
--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -50,10 +50,13 @@
         # A window lasts as long as the burst takes to refill, or as the counter can keep its names.
         self.window_s = min(plan.burst / plan.rate, MAX_NAME_TTL / TTL_WINDOWS) if plan.rate > 0 else 0.0
         self.limit, self.beyond_pays = (
-            min(plan.burst, plan.rate * self.window_s), plan.over_worth > plan.over_cost)  # fmt: skip
+            min(plan.burst, plan.rate * self.window_s),
+            plan.over_worth > plan.over_cost,
+        )
         self.window = int(now // self.window_s) if self.window_s else 0
-        self.total = self.own_units = self.lost_units = self.prev_total = (
-            self.uncounted) = self.assumed_units = 0.0  # fmt: skip
+        self.total = self.own_units = self.lost_units = self.prev_total = self.uncounted = (
+            self.assumed_units
+        ) = 0.0
         self.prev_known = self.reading_prev = False
         self.waiting: list[Any] = []  # requests that wait for the last window's total
         self.deficit, self.stale = ASSUMED_USE * self.limit, True
@@ -83,7 +86,12 @@
             self.stale = self.stale or window > self.window + 1
             self.prev_total = self.total if window == self.window + 1 else 0.0
             self.window, self.prev_known, self.total, self.own_units, self.lost_units = (
-                window, False, 0.0, 0.0, 0.0)  # fmt: skip
+                window,
+                False,
+                0.0,
+                0.0,
+                0.0,
+            )
         self.uncounted *= now - self.uncounted_since <= 2 * self.window_s  # older windows count no more
         assumed = min(self.others_rate, self.plan.rate * (1 - 1 / (2 * self.spread))) * dt
         self.assumed_units = min(self.plan.burst, self.assumed_units + assumed)
--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -76,17 +76,27 @@
         "lists": {key: list(getattr(gateway, name)) for key, name in LISTS.items()},
         "quick": gateway.counter_quick,
         "servers": [
-            [server_id, server.entry.started, [getattr(server, name) for name in SERVER_FIELDS],
-             [[cls, *failure] for cls, failure in server.failures.items()]]
+            [
+                server_id,
+                server.entry.started,
+                [getattr(server, name) for name in SERVER_FIELDS],
+                [[cls, *failure] for cls, failure in server.failures.items()],
+            ]
             for server_id, server in gateway.servers.items()
         ],
         "customers": [
-            [account.id, plans.index(account.plan), account.spread // account.workers, account.workers,
-             account.window, [getattr(account, name) for name in ACCOUNT_FIELDS],
-             [getattr(account, name) for name in ACCOUNT_FLAGS]]
+            [
+                account.id,
+                plans.index(account.plan),
+                account.spread // account.workers,
+                account.workers,
+                account.window,
+                [getattr(account, name) for name in ACCOUNT_FIELDS],
+                [getattr(account, name) for name in ACCOUNT_FLAGS],
+            ]
             for account in accounts
         ],
-    }  # fmt: skip
+    }
 
 
 def active_ejections(gateway: Gateway, now: float) -> list[tuple[int, float, int, float]]:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -21,7 +21,7 @@
 GUARDS = {
     "drain": ("if v.entry.health is Health.READY}", "}", "drains"),
     "ban": ("listed_ready - self.banned.keys()", "listed_ready", "staff"),
-    "unsafe repeat": (KEYED + "\n                and self.now + self.settings.tick", "self.now", "unsafe"),
+    "unsafe repeat": (KEYED + "\n            and self.now + self.settings.tick", "self.now", "unsafe"),
     "window": ("< req.ran_at + req.cls.dedup_window", "< math.inf", "after the window"),
     "group": (
         "ready = [k for k in ready if self.same_dedup_scope(req, k)]",
