--- a/starlinggap/__init__.py
+++ b/starlinggap/__init__.py
@@ -17,10 +17,10 @@
 ceiling. The ceiling is split evenly among the gateways, so that it holds without the counter:
 `Account.headroom` is what is left of this gateway's part.
 
-Spare the counter (`calls_counter`, `call_failed`). `call_share` is the share of requests that call the
-counter: it grows by quick answers and is cut by late ones. Below 1 the counter is taken as overloaded, and
-the other requests are decided locally. Their units are uncounted until a later call takes them along
-(`count_later`).
+Spare the counter (`should_call_counter`, `record_failed_call`). `call_share` is the share of requests that
+call the counter: it grows by quick answers and is cut by late ones. Below 1 the counter is taken as
+overloaded, and the other requests are decided locally. Their units are uncounted until a later call takes
+them along (`count_later`).
 
 Shed load (`should_shed`). Time over aim of recent answers and of attempts in flight tells the overload.
 What is shed are the requests of the lowest worth per second; clients are told to come back later
--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -26,14 +26,15 @@
 COUNTER_PROBE_INTERVAL = 3.0  # s, times 0.5 to 1.5 at random: a counter that is not called is read so often
 DEFER_WINDOWS = 0.25  # windows that uncounted units wait for another call, and that a refusal by total stands
 HOUSEKEEPING_PERIOD, IDLE_PERIOD = 0.05, 0.25  # s between rounds, with requests held and without
-EWMA = 0.1  # weight of the newest value in an exponential moving average: about the last ten count
+EWMA_WEIGHT = 0.1  # weight of the newest value in an exponential moving average: about the last ten count
 COLD_BUDGET_SHARE = 0.6  # of the collapse limit: chance and costly requests need some room
 WARM_PEAK_LOAD = 1.5  # times its capacity: a warm server is sent no more, even before overload sheds
 MIN_WARM_SHARE = 0.35  # of the whole capacity: with less of it there, cold servers get less than their part
 MAX_CANDIDATES = 8  # servers drawn at most to find two that can take a request
 DECAY_TIME = 10.0  # s, time constant of what is known of a server's speed; 3x that for an account's decisions
 EJECT_SHARE = 0.5  # failed share of a class's recent attempts at a server: above it the server is ejected
-RARE_WEIGHT = 0.9  # of an error at a server that is tried once or less in DECAY_TIME: one is enough there
+# Of an error at a server that is tried once or less in DECAY_TIME: one is enough there.
+RARE_ERROR_WEIGHT = 0.9
 ERROR_WEIGHT = 0.3  # of an error elsewhere: three in a row eject, one or two are chance
 MIN_EJECT_TIME, MAX_EJECT_TIME = 0.5, 8.0  # s out after the first ejection, and at most: it doubles
 STALE_LOSS_SHARE = 0.1  # lost on kept connections, beyond twice that on new ones: above it none is reused
@@ -50,25 +51,33 @@
 PRIOR_OUTCOMES = 1.5  # calm outcomes, at half of SHED_START, that one gateway's few outcomes are mixed with
 WORTH_SAMPLES = 200  # recent requests among which a request's worth is ranked
 ACCOUNT_IDLE_TIME = 15.0  # s for which an account not seen is kept at least: many come only once
-HOLD_TIME = 0.5  # of the aim: a request that no server can take is held this long, then refused
-TOTAL_LOST = (End.ERROR, End.RESET)  # the counter has added the units, but the total did not arrive
+HOLD_SHARE = 0.5  # of the aim: a request that no server can take is held this long, then refused
+TOTAL_LOST_ENDS = (End.ERROR, End.RESET)  # the counter has added the units, but the total did not arrive
 BEYOND_QUOTA_RESERVE = 0.5  # of the local ceiling, and of the aim: kept free of beyond-quota requests
 
 
 class Attempt:
     """One attempt at a server.
 
-    `kept`: on a kept idle connection, or a new one; None: on one in use. `is_load`: timed and not overdue."""
+    `kept_connection`: on a kept idle connection, or a new one; None: on one in use. `is_load`: timed and not
+    overdue."""
 
     def __init__(self, request: PendingRequest, server: int, at: float, kept: bool | None) -> None:
-        self.request, self.server, self.sent_at, self.kept, self.is_load = request, server, at, kept, False
+        self.request, self.server, self.sent_at, self.kept_connection, self.is_load = (
+            request,
+            server,
+            at,
+            kept,
+            False,
+        )
 
 
 class PendingRequest:
     """A request that still lacks its final answer, or whose attempts are still in flight.
 
-    `cleared`: not shed by overload. `capped`: charged to this gateway's part of the ceiling. `beyond`: over
-    its quota. `ran`: an attempt may have run. `counted`: its units are on the counter; None: not known."""
+    `passed_shedding`: not shed by overload. `charges_ceiling`: charged to this gateway's part of the ceiling.
+    `beyond_quota`: over its quota. `may_have_run`: an attempt may have run. `counted`: its units are on the
+    counter; None: not known."""
 
     def __init__(
         self, event: interface.Request, cls: interface.RequestClass, account: Account, now: float
@@ -78,35 +87,54 @@
         self.aim = min(cls.aim, max(event.budget, HOUSEKEEPING_PERIOD))  # lower if its client is less patient
         # Less than half of the budget: a refusal that late would do harm.
         self.held_until = min(
-            now + HOLD_TIME * min(cls.aim, 0.8 * event.budget), self.deadline - 2 * HOUSEKEEPING_PERIOD
+            now + HOLD_SHARE * min(cls.aim, 0.8 * event.budget), self.deadline - 2 * HOUSEKEEPING_PERIOD
         )
         self.attempts: list[Attempt] = []
         self.in_flight: dict[int, int] = {}  # attempt: server
-        self.ran_at, self.ran_on = math.inf, -1  # when and where the first one was sent that may have run
-        self.undecided, self.shed = True, 0.0
-        self.cleared = self.capped = self.final = self.beyond = self.sent = self.streaming = self.ran = False
+        # When and where the first one was sent that may have run.
+        self.may_have_run_at, self.may_have_run_on = math.inf, -1
+        self.undecided, self.shed_share = True, 0.0
+        self.passed_shedding = self.charges_ceiling = self.final = self.beyond_quota = self.sent = (
+            self.streaming
+        ) = self.may_have_run = False
         self.counted: bool | None = False
         self.cost = event.units if 0 < event.units < math.inf else 1.0
 
 
 class CounterCall:
-    """An unanswered counter call. `decided`: whether its request was admitted without it; None: it waits."""
+    """An unanswered counter call. `admitted_locally`: whether its request was admitted without it; None: it
+    waits."""
 
-    def __init__(self, account: Account, back: int, amount: float, carry: float, req: PendingRequest | None):
-        self.account, self.window, self.amount, self.carried = account, account.window - back, amount, carry
-        self.request, self.reads_previous, self.reread = req, back > 0, False  # reread: of a lost total
-        self.decided: bool | None = None
+    def __init__(
+        self,
+        account: Account,
+        windows_ago: int,
+        amount: float,
+        carried: float,
+        request: PendingRequest | None,
+    ):
+        self.account, self.window, self.amount, self.carried = (
+            account,
+            account.window - windows_ago,
+            amount,
+            carried,
+        )
+        # reread: of a lost total
+        self.request, self.reads_previous, self.reread = request, windows_ago > 0, False
+        self.admitted_locally: bool | None = None
 
 
 class Server:
     """A server as this gateway sees it; all times by the gateway's clock.
 
-    `returned_at`: when a ban was lifted, 0: never. `connection_used_at`: when a connection last worked there.
+    `unbanned_at`: when a ban was lifted, 0: never. `connection_used_at`: when a connection last worked there.
     `slowdown`: time over the usual. `in_flight`: start by request and attempt; infinite: body not sent."""
 
-    def __init__(self, entry: interface.ServerEntry, now: float, start: float, returned: float = 0.0) -> None:
-        self.entry, self.slowdown, self.returned_at = entry, 1.0, returned
-        self.started_at = start
+    def __init__(
+        self, entry: interface.ServerEntry, now: float, started_at: float, unbanned_at: float = 0.0
+    ) -> None:
+        self.entry, self.slowdown, self.unbanned_at = entry, 1.0, unbanned_at
+        self.started_at = started_at
         self.failures: dict[int, list[float]] = {}  # by class: failed share, ejected until, next ejection (s)
         self.in_flight: dict[tuple[int, int], float] = {}
         self.last_ok_at, self.connection_used_at, self.queue_length = now, -math.inf, 0.0
@@ -128,7 +156,8 @@
         self.slow_start = SlowStart(settings)
         self.zone_shares: dict[int, float] = {}  # of zones that the fleet has left (0), or returns to
         self.calls, self.timers = dict[int, deque[CounterCall]](), dict[int, CounterCall | None]()
-        self.last_token, self.mean_stake = 0, 1.0  # of timers; of worth * price * units, see `calls_counter`
+        # Of timers; of worth * price * units, see `should_call_counter`.
+        self.last_token, self.mean_stake = 0, 1.0
         # Share of requests that call the counter, as of when; below 1, the counter is taken as overloaded.
         # Whether its newest answer was quick, and the least time of a recent one.
         self.call_share, self.call_share_at, self.counter_quick, self.counter_min_time = (
@@ -176,14 +205,16 @@
                 self.on_timer(event.token)
             elif isinstance(event, interface.ZoneShare):
                 self.on_zone(event)
-            elif isinstance(event, interface.ClientGone) and (req := self.requests.get(event.request)):
-                self.close_request(req)
-            elif isinstance(event, interface.RequestWritten) and (req := self.requests.get(event.request)):
-                if event.attempt in req.in_flight:
-                    req.deadline = self.now + req.event.budget
-                    self.start_timing(req, req.attempts[event.attempt])
-            elif isinstance(event, interface.StreamStarted) and (req := self.requests.get(event.request)):
-                req.streaming = True
+            elif isinstance(event, interface.ClientGone) and (request := self.requests.get(event.request)):
+                self.close_request(request)
+            elif isinstance(event, interface.RequestWritten) and (
+                request := self.requests.get(event.request)
+            ):
+                if event.attempt in request.in_flight:
+                    request.deadline = self.now + request.event.budget
+                    self.start_timing(request, request.attempts[event.attempt])
+            elif isinstance(event, interface.StreamStarted) and (request := self.requests.get(event.request)):
+                request.streaming = True
         if (
             self.settings.list_on_request
             and self.now - self.list_asked_at > self.settings.max_watch_interval / 4
@@ -209,64 +240,71 @@
         if call is None:
             self.housekeeping_set = False
             self.run_housekeeping()
-        elif (req := call.request) and req.undecided and call.decided is None:
-            self.call_failed()
-            if req not in req.account.waiting:
-                req.counted = None
-            self.decide_locally(req)
-            if req.counted is None:
-                call.decided = not req.beyond and not req.final
+        elif (request := call.request) and request.undecided and call.admitted_locally is None:
+            self.record_failed_call()
+            if request not in request.account.waiting:
+                request.counted = None
+            self.decide_locally(request)
+            if request.counted is None:
+                call.admitted_locally = not request.beyond_quota and not request.final
 
     # --- quota -------------------------------------------------------------------------------------------
-    def on_request(self, request: interface.Request) -> None:
+    def on_request(self, event: interface.Request) -> None:
         """Has a new request decided by the counter, or locally where the counter is not to be called."""
-        if request.request in self.requests:
+        if event.request in self.requests:
             return
-        s, account = self.settings, self.accounts.get(request.account)
-        cls, plan = s.classes[request.cls % len(s.classes)], s.plans[request.plan % len(s.plans)]
+        settings, account = self.settings, self.accounts.get(event.account)
+        cls, plan = (
+            settings.classes[event.cls % len(settings.classes)],
+            settings.plans[event.plan % len(settings.plans)],
+        )
         if account is None:
-            account = self.accounts[request.account] = Account(
-                request, plan, self.now, self.now - self.started_at
+            account = self.accounts[event.account] = Account(
+                event, plan, self.now, self.now - self.started_at
             )
-        self.accounts.move_to_end(request.account)
+        self.accounts.move_to_end(event.account)
         account.advance(self.now)
         account.seen_at = self.now
-        if request.account_workers != account.workers:  # its part is split over more cores, or fewer
-            account.headroom *= min(1.0, account.workers / request.account_workers)
+        if event.account_workers != account.workers:  # its part is split over more cores, or fewer
+            account.headroom *= min(1.0, account.workers / event.account_workers)
             account.spread, account.workers = (
-                account.spread // account.workers * request.account_workers,
-                request.account_workers,
-            )
-        if request.exclusive_for < math.inf:  # other cores may have spent what there was before
-            account.headroom = min(
-                account.headroom, plan.ceiling_rate / account.spread * request.exclusive_for
+                account.spread // account.workers * event.account_workers,
+                event.account_workers,
             )
-        req = self.requests[request.request] = PendingRequest(request, cls, account, self.now)
-        self.recent_worths.append(self.worth_per_time(req))
+        if event.exclusive_for < math.inf:  # other cores may have spent what there was before
+            account.headroom = min(account.headroom, plan.ceiling_rate / account.spread * event.exclusive_for)
+        request = self.requests[event.request] = PendingRequest(event, cls, account, self.now)
+        self.recent_worths.append(self.worth_per_time(request))
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_RATIO)
         # One limit for all counter calls, below half of the budget: no impatient client waits in vain.
-        longer = min(s.counter_timeout * MAX_COUNTER_WAIT_SHARE, req.aim * COUNTER_WAIT_AIM_SHARE)
-        counter_wait = min(max(s.counter_timeout * COUNTER_WAIT_SHARE, longer), request.budget / 2 - s.tick)
+        busy_wait = min(
+            settings.counter_timeout * MAX_COUNTER_WAIT_SHARE, request.aim * COUNTER_WAIT_AIM_SHARE
+        )
+        counter_wait = min(
+            max(settings.counter_timeout * COUNTER_WAIT_SHARE, busy_wait), event.budget / 2 - settings.tick
+        )
         if not account.window_s:
-            self.apply_decision(req, True)
-        elif (self.call_share < 1 and self.should_shed(req)) or (
-            self.now < account.denied_until and account.deficit + req.cost > account.limit
+            self.apply_decision(request, True)
+        elif (self.call_share < 1 and self.should_shed(request)) or (
+            self.now < account.denied_until and account.deficit + request.cost > account.limit
         ):
             # Spares the counter what overload sheds, and repeats that come before the bucket has room.
-            self.apply_decision(req, False)
-        elif s.use_counter and counter_wait > 0 and self.calls_counter(req):
+            self.apply_decision(request, False)
+        elif settings.use_counter and counter_wait > 0 and self.should_call_counter(request):
             # If a refusal is likely, an overloaded counter is only read first, which saves a refund.
-            likely_refused = self.call_share < 1 and self.admit_chance(req) < 0.5
-            self.set_timer(counter_wait, self.call_counter(account, 0.0 if likely_refused else req.cost, req))
+            likely_refused = self.call_share < 1 and self.admit_chance(request) < 0.5
+            self.set_timer(
+                counter_wait, self.call_counter(account, 0.0 if likely_refused else request.cost, request)
+            )
         else:
-            self.decide_locally(req)
-            if s.use_counter and self.now >= self.counter_probe_at:
+            self.decide_locally(request)
+            if settings.use_counter and self.now >= self.counter_probe_at:
                 self.call_counter(account, 0.0, None)
 
-    def calls_counter(self, req: PendingRequest) -> bool:
+    def should_call_counter(self, request: PendingRequest) -> bool:
         """Whether to call the counter: with chance `call_share`, a higher one where an error costs more."""
-        stake = req.cls.worth * req.account.plan.price * req.cost
-        self.mean_stake += EWMA / 2 * (stake - self.mean_stake)
+        stake = request.cls.worth * request.account.plan.price * request.cost
+        self.mean_stake += EWMA_WEIGHT / 2 * (stake - self.mean_stake)
         if self.counter_quick:
             self.call_share = min(1.0, self.call_share + CALL_SHARE_RISE * (self.now - self.call_share_at))
         self.call_share_at = self.now
@@ -274,12 +312,12 @@
         return self.call_share >= 1 or self.rng.random() < self.call_share * weight
 
     def call_counter(
-        self, account: Account, amount: float, req: PendingRequest | None, back: int = 0
+        self, account: Account, amount: float, request: PendingRequest | None, windows_ago: int = 0
     ) -> CounterCall:
-        """Adds `amount` to the account's total of `back` windows ago; uncounted units are added with it."""
-        carried = 0.0 if back else account.uncounted
+        """Adds `amount` to the total of `windows_ago` windows ago; uncounted units go with it."""
+        carried = 0.0 if windows_ago else account.uncounted
         account.uncounted -= carried
-        call = CounterCall(account, back, amount, carried, req)
+        call = CounterCall(account, windows_ago, amount, carried, request)
         name = counter_name(account.id, call.window)
         self.calls.setdefault(name, deque()).append(call)
         self.counter_probe_at = self.now + COUNTER_PROBE_INTERVAL * (0.5 + self.rng.random())
@@ -297,7 +335,7 @@
             if at_once and account.uncounted * amount > 0:  # not for a refund of uncounted units
                 self.call_counter(account, 0.0, None)
 
-    def call_failed(self) -> None:
+    def record_failed_call(self) -> None:
         """Lowers `call_share` when the counter is silent, slow or refuses; in the end it is only probed."""
         if self.now - self.call_share_cut_at > self.settings.counter_timeout * COUNTER_WAIT_SHARE:
             self.call_share_cut_at = self.now
@@ -311,10 +349,10 @@
         call = calls.popleft()
         if not calls:
             del self.calls[event.name]
-        account, req = call.account, call.request
+        account, request = call.account, call.request
         account.advance(self.now)
-        total_needed = call.reads_previous or req and req.undecided and call.decided is None
-        if event.end in TOTAL_LOST and total_needed and not call.reread:
+        total_needed = call.reads_previous or request and request.undecided and call.admitted_locally is None
+        if event.end in TOTAL_LOST_ENDS and total_needed and not call.reread:
             # The units were added but the total was lost: it is read, in place of the call's own answer.
             call.reread = True
             self.calls.setdefault(event.name, deque()).append(call)
@@ -327,7 +365,7 @@
         counted, total = call.reread or event.end not in interface.NEVER_RAN, math.nan
         if event.end is End.OK and math.isfinite(event.total) and event.total >= -max_drop:
             if event.duration > self.settings.counter_timeout * COUNTER_WAIT_SHARE:
-                self.call_failed()
+                self.record_failed_call()
             else:
                 self.counter_min_time = min(event.duration, self.counter_min_time * 1.01)
                 self.counter_quick = event.duration < max(
@@ -340,28 +378,30 @@
                 )
             total = self.apply_total(account, call, max(0.0, event.total), max_drop)
         else:
-            if event.end not in TOTAL_LOST:  # a garbled or broken answer is no sign of overload
-                self.call_failed()
+            if event.end not in TOTAL_LOST_ENDS:  # a garbled or broken answer is no sign of overload
+                self.record_failed_call()
             if not counted:
                 self.count_later(account, call.carried)
         if call.reads_previous:
             account.reading_prev = False
             waiting, account.waiting = account.waiting, []
-            for waiting_req in waiting:
-                if waiting_req.undecided:
+            for waiting_request in waiting:
+                if waiting_request.undecided:
                     (
-                        self.check_total(waiting_req, account.total - waiting_req.cost)
+                        self.check_total(waiting_request, account.total - waiting_request.cost)
                         if account.prev_known
-                        else self.decide_locally(waiting_req)
+                        else self.decide_locally(waiting_request)
                     )
-        elif req and req.undecided and call.decided is None:
-            req.counted = counted and call.amount > 0
+        elif request and request.undecided and call.admitted_locally is None:
+            request.counted = counted and call.amount > 0
             if math.isnan(total):
-                self.decide_locally(req)
+                self.decide_locally(request)
             else:
-                self.check_total(req, total - call.amount if call.window == account.window else account.total)
-        elif req and call.amount and counted is not bool(call.decided):
-            self.count_later(account, call.amount if call.decided else -call.amount, at_once=True)
+                self.check_total(
+                    request, total - call.amount if call.window == account.window else account.total
+                )
+        elif request and call.amount and counted is not bool(call.admitted_locally):
+            self.count_later(account, call.amount if call.admitted_locally else -call.amount, at_once=True)
 
     def apply_total(self, account: Account, call: CounterCall, total: float, max_drop: float) -> float:
         """Updates the account by a total, and by what it tells of other gateways' use; returns the total."""
@@ -375,14 +415,14 @@
                 # refund this large was real, quota is withheld for one window.
                 account.lost_units += account.total + added - total
                 total = account.total + added
-            others = max(0.0, increase := total - added - account.total)
+            used_by_others = max(0.0, increase := total - added - account.total)
             account.headroom -= account.beyond_pays * increase / account.spread  # each bears an equal part
-            keep = math.exp(
+            decay_factor = math.exp(
                 -min(self.now - account.total_at, self.now - account.window * account.window_s)
                 / (2 * account.window_s)
             )
-            account.others_rate = account.others_rate * keep + others / (2 * account.window_s)
-            account.deficit = max(0.0, account.deficit + others - account.assumed_units)
+            account.others_rate = account.others_rate * decay_factor + used_by_others / (2 * account.window_s)
+            account.deficit = max(0.0, account.deficit + used_by_others - account.assumed_units)
             account.assumed_units, account.total, account.own_units, account.total_at = (
                 0.0,
                 total,
@@ -397,97 +437,120 @@
             )
         return total
 
-    def check_total(self, req: PendingRequest, before: float) -> None:
+    def check_total(self, request: PendingRequest, total_before: float) -> None:
         """Decides by the counter: the two-window test on the total before the request's own add."""
-        account = req.account
-        left, prev = max(0.0, account.window + 1 - self.now / account.window_s), account.prev_total
+        account = request.account
+        remaining, prev = max(0.0, account.window + 1 - self.now / account.window_s), account.prev_total
         needs_prev = self.call_share >= 1 or account.plan.ceiling_rate > 0  # a ceiling relies on totals
         if not account.prev_known:  # if overloaded it is not read: use is taken as steady
-            prev = max(account.limit, account.prev_total) if needs_prev else account.likely_prev(before, left)
-        used = max(0.0, estimate_use(prev, before, left))
+            prev = (
+                max(account.limit, account.prev_total)
+                if needs_prev
+                else account.likely_prev(total_before, remaining)
+            )
+        used = max(0.0, estimate_use(prev, total_before, remaining))
         if account.stale or account.deficit > used:
             account.deficit, account.stale = used, False
-        if not account.prev_known and needs_prev and not fits(used, account.limit, req.cost):
+        if not account.prev_known and needs_prev and not fits(used, account.limit, request.cost):
             # The last window's total must be read; not needed while the cost fits whatever it held.
-            account.waiting.append(req)
+            account.waiting.append(request)
             if not account.reading_prev:
                 account.reading_prev = True
-                self.call_counter(account, 0.0, req, back=1)
+                self.call_counter(account, 0.0, request, windows_ago=1)
             return
         # Exception for a full burst after light use: the token bucket, fed by the same totals, may still hold
         # what the two-window estimate refuses. The floor belongs to that estimate; the bucket needs none.
-        inside = fits(used, account.limit, req.cost) or req.cost <= account.limit - account.deficit
-        keep = math.exp((account.judged_at - self.now) / (3 * DECAY_TIME))
+        within_quota = (
+            fits(used, account.limit, request.cost) or request.cost <= account.limit - account.deficit
+        )
+        decay_factor = math.exp((account.judged_at - self.now) / (3 * DECAY_TIME))
         account.judged, account.admitted, account.judged_at = (
-            account.judged * keep + 1,
-            account.admitted * keep + inside,
+            account.judged * decay_factor + 1,
+            account.admitted * decay_factor + within_quota,
             self.now,
         )
-        self.admit_shares[req.event.is_retry] += EWMA / 2 * (inside - self.admit_shares[req.event.is_retry])
-        self.apply_decision(req, inside, by_total=True)
+        self.admit_shares[request.event.is_retry] += (
+            EWMA_WEIGHT / 2 * (within_quota - self.admit_shares[request.event.is_retry])
+        )
+        self.apply_decision(request, within_quota, by_total=True)
 
-    def decide_locally(self, req: PendingRequest) -> None:
+    def decide_locally(self, request: PendingRequest) -> None:
         """Decides without the counter: by the bucket as last known, and the use assumed of others."""
-        if req in req.account.waiting:
-            req.account.waiting.remove(req)
-        account = req.account
-        inside = req.cost <= account.limit - account.deficit
+        if request in request.account.waiting:
+            request.account.waiting.remove(request)
+        account = request.account
+        within_quota = request.cost <= account.limit - account.deficit
         # A share of the quota below one request is granted by chance, as often as totals admitted lately.
-        chance = self.admit_chance(req) if account.limit / account.spread < req.cost else 1.0
-        self.apply_decision(req, inside and self.rng.random() < chance)
+        chance = self.admit_chance(request) if account.limit / account.spread < request.cost else 1.0
+        self.apply_decision(request, within_quota and self.rng.random() < chance)
 
-    def admit_chance(self, req: PendingRequest) -> float:
+    def admit_chance(self, request: PendingRequest) -> float:
         """The share of such requests that totals admitted lately: the account's, else all accounts'."""
-        account, keep = req.account, math.exp((req.account.judged_at - self.now) / (3 * DECAY_TIME))
-        return (account.admitted * keep + self.admit_shares[req.event.is_retry]) / (account.judged * keep + 1)
+        account, decay_factor = (
+            request.account,
+            math.exp((request.account.judged_at - self.now) / (3 * DECAY_TIME)),
+        )
+        return (account.admitted * decay_factor + self.admit_shares[request.event.is_retry]) / (
+            account.judged * decay_factor + 1
+        )
 
-    def apply_decision(self, req: PendingRequest, inside: bool, by_total: bool = False) -> None:
+    def apply_decision(self, request: PendingRequest, within_quota: bool, by_total: bool = False) -> None:
         """Sends what is inside the quota; beyond it, only where that earns more than it costs."""
-        account, plan = req.account, req.account.plan
+        account, plan = request.account, request.account.plan
         if plan.open and account.open_attempts >= math.ceil(plan.open / account.spread):
-            inside = False
-        req.undecided, req.beyond = False, not inside
-        if not inside and by_total:  # chance and overload say nothing about the account
+            within_quota = False
+        request.undecided, request.beyond_quota = False, not within_quota
+        if not within_quota and by_total:  # chance and overload say nothing about the account
             account.denied_until = self.now + DEFER_WINDOWS * account.window_s
         # What a total admits is inside the quota, so under the ceiling: it needs none of this gateway's part,
         # which may be less than one request, unless counts were lost. If `beyond_pays`, all is charged to it.
-        vouched = by_total and inside and self.now - self.counts_lost_at > TTL_WINDOWS * account.window_s
-        req.capped = plan.ceiling_rate > 0 and not vouched
-        reserve = self.call_share * account.limit if inside else BEYOND_QUOTA_RESERVE * plan.ceiling_burst
-        needed = (
-            req.cost
+        admitted_by_total = (
+            by_total and within_quota and self.now - self.counts_lost_at > TTL_WINDOWS * account.window_s
+        )
+        request.charges_ceiling = plan.ceiling_rate > 0 and not admitted_by_total
+        reserve = (
+            self.call_share * account.limit if within_quota else BEYOND_QUOTA_RESERVE * plan.ceiling_burst
+        )
+        needed_headroom = (
+            request.cost
             + max(reserve, account.deficit * (not account.stale and not account.beyond_pays)) / account.spread
         )
-        if not inside:
-            self.refund(req)
+        if not within_quota:
+            self.refund(request)
         else:
-            account.deficit += req.cost
-            if req.counted is False:  # no call was made: the next one adds it
-                req.counted = True
-                self.count_later(account, req.cost, at_once=by_total)
-        if (inside or plan.over_worth > plan.over_cost) and (not req.capped or account.headroom >= needed):
-            self.dispatch(req)
+            account.deficit += request.cost
+            if request.counted is False:  # no call was made: the next one adds it
+                request.counted = True
+                self.count_later(account, request.cost, at_once=by_total)
+        if (within_quota or plan.over_worth > plan.over_cost) and (
+            not request.charges_ceiling or account.headroom >= needed_headroom
+        ):
+            self.dispatch(request)
         else:
-            if inside:
-                account.deficit = max(0.0, account.deficit - req.cost)
-                self.refund(req)
-            self.refuse(req)
+            if within_quota:
+                account.deficit = max(0.0, account.deficit - request.cost)
+                self.refund(request)
+            self.refuse(request)
 
-    def refund(self, req: PendingRequest) -> None:
+    def refund(self, request: PendingRequest) -> None:
         """Takes back the units of a refused request; a call still out is settled when it is answered."""
-        if req.counted:
-            req.counted = False
-            self.count_later(req.account, -req.cost, at_once=True)
+        if request.counted:
+            request.counted = False
+            self.count_later(request.account, -request.cost, at_once=True)
 
-    def retry_after(self, req: PendingRequest) -> float:
+    def retry_after(self, request: PendingRequest) -> float:
         """When the bucket will hold the cost (s); the later the more is shed, and spread out at random."""
-        account = req.account
+        account = request.account
         wait = (
-            max(0.0, account.deficit + req.cost - account.limit) / account.plan.rate
+            max(0.0, account.deficit + request.cost - account.limit) / account.plan.rate
             if account.window_s
-            else req.cls.aim
+            else request.cls.aim
+        )
+        wait = max(
+            wait,
+            request.shed_share * HOLD_SHARE * request.cls.aim * (1 - self.rng.random() / 2),
+            self.settings.tick,
         )
-        wait = max(wait, req.shed * HOLD_TIME * req.cls.aim * (1 - self.rng.random() / 2), self.settings.tick)
         return min(self.settings.max_retry_after, wait)
 
     # --- server choice -----------------------------------------------------------------------------------
@@ -495,7 +558,9 @@
         """Takes over a server list; a server with a new start begins without a history."""
         if event.kind in (ListKind.COMPLETE, ListKind.CACHED):
             listed = {entry.server for entry in event.entries}
-            self.servers = {k: v for k, v in self.servers.items() if k in listed}
+            self.servers = {
+                server_id: server for server_id, server in self.servers.items() if server_id in listed
+            }
         for entry in event.entries:
             old = self.servers.get(entry.server)
             if entry.health is Health.GONE:
@@ -509,10 +574,16 @@
 
     def update_ready(self) -> None:
         """Lists the servers that may be chosen: ready, not banned, not in a zone that the fleet has left."""
-        listed_ready = {k for k, v in self.servers.items() if v.entry.health is Health.READY}
+        listed_ready = {
+            server_id for server_id, server in self.servers.items() if server.entry.health is Health.READY
+        }
         usable = listed_ready - self.banned.keys()
-        self.untried = [k for k in self.untried if k in self.servers]
-        in_use = {k for k in usable if self.zone_share(self.servers[k]) > 0 or k in self.untried}
+        self.untried = [server_id for server_id in self.untried if server_id in self.servers]
+        in_use = {
+            server_id
+            for server_id in usable
+            if self.zone_share(self.servers[server_id]) > 0 or server_id in self.untried
+        }
         self.ready = sorted(in_use or usable)  # if all zones are left, all are used
         self.release_held()
 
@@ -523,12 +594,14 @@
     def on_zone(self, event: interface.ZoneShare) -> None:
         """Cancels repeatable attempts in a zone that is left. A trial server takes the next such request."""
         self.zone_shares[event.zone] = event.share
-        for req in self.requests.values() if event.share <= 0 and self.settings.allow_cancel else ():
-            for n, key in (
-                req.in_flight.items() if req.cls.idempotency is Idempotency.SAFE and not req.final else ()
+        for request in self.requests.values() if event.share <= 0 and self.settings.allow_cancel else ():
+            for attempt, server_id in (
+                request.in_flight.items()
+                if request.cls.idempotency is Idempotency.SAFE and not request.final
+                else ()
             ):
-                if key in self.servers and self.servers[key].entry.zone == event.zone:
-                    self.actions.append(interface.Cancel(req.id, n))
+                if server_id in self.servers and self.servers[server_id].entry.zone == event.zone:
+                    self.actions.append(interface.Cancel(request.id, attempt))
         if (old := self.servers.get(event.trial_server)) and event.trial_server not in self.untried:
             self.servers[event.trial_server] = Server(old.entry, self.now, old.started_at)
             self.untried.append(event.trial_server)
@@ -541,8 +614,8 @@
             self.banned[event.server] = event.at
         elif (banned_at := self.banned.pop(event.server, None)) is not None:
             if old := self.servers.get(event.server):
-                returned_at = self.now if old.entry.started < banned_at else 0.0
-                self.servers[event.server] = Server(old.entry, self.now, old.started_at, returned_at)
+                unbanned_at = self.now if old.entry.started < banned_at else 0.0
+                self.servers[event.server] = Server(old.entry, self.now, old.started_at, unbanned_at)
                 self.untried.append(event.server)
         self.update_ready()
 
@@ -550,71 +623,84 @@
         """How many listed servers get nothing now: banned, draining, or ejected for some class."""
         ready = set(self.ready)
         return sum(
-            key not in ready or any(failure[1] > now for failure in server.failures.values())
-            for key, server in self.servers.items()
+            server_id not in ready or any(failure[1] > now for failure in server.failures.values())
+            for server_id, server in self.servers.items()
         )
 
-    def capacity(self, server: Server) -> float:
+    def capacity_share(self, server: Server) -> float:
         """The share of its capacity that a server can be given now: by slow start and by its zone."""
         return min(self.warm_share(server), self.zone_share(server))
 
     def warm_share(self, server: Server) -> float:
         """The share of its capacity that slow start allows, since its start or a lifted ban; 1: warm."""
-        return self.slow_start.share(max(server.started_at, server.returned_at), self.now)
+        return self.slow_start.share(max(server.started_at, server.unbanned_at), self.now)
 
     def slowness(self, server: Server) -> float:
         """Its time over the usual; returns to 1 as the last answer ages, since it says little by then."""
         return 1 + (server.slowdown - 1) * math.exp((server.last_ok_at - self.now) / DECAY_TIME)
 
-    def expected_wait(self, server: Server, req: PendingRequest) -> float:
+    def expected_wait(self, server: Server, request: PendingRequest) -> float:
         """Expected time there, relative to the usual: by its speed, queue and our oldest attempt."""
-        slow = self.slowness(server)
+        slowness = self.slowness(server)
         if server.in_flight:
-            oldest = next(iter(server.in_flight.values()))
-            slow = max(slow, (self.now - oldest) / (2 * self.usual[req.event.cls % len(self.usual)]))
-        crossing = self.settings.cross_zone_price if server.entry.zone != self.settings.zone else 0.0
+            oldest_start = next(iter(server.in_flight.values()))
+            slowness = max(
+                slowness, (self.now - oldest_start) / (2 * self.usual[request.event.cls % len(self.usual)])
+            )
+        zone_price = self.settings.cross_zone_price if server.entry.zone != self.settings.zone else 0.0
         if self.now - server.connection_used_at >= self.settings.idle_timeout:
-            slow *= NEW_CONNECTION_FACTOR
+            slowness *= NEW_CONNECTION_FACTOR
         weight = server.entry.weight if server.entry.weight > 0 else 1.0
-        return slow * (1 + crossing) * (1 + len(server.in_flight) + server.queue_length) / weight
+        return slowness * (1 + zone_price) * (1 + len(server.in_flight) + server.queue_length) / weight
 
-    def choose_server(self, req: PendingRequest, avoid: set[int]) -> int | None:
+    def choose_server(self, request: PendingRequest, avoid: set[int]) -> int | None:
         """The better of two servers drawn at random that can take the request; None if none can."""
-        cls, ready, usual = req.event.cls, self.ready, self.usual[req.event.cls % len(self.usual)]
+        class_index, ready, usual_time = (
+            request.event.cls,
+            self.ready,
+            self.usual[request.event.cls % len(self.usual)],
+        )
         if (
-            req.ran_on >= 0
-            and req.cls.idempotency is Idempotency.KEYED
-            and req.cls.dedup_scope is not DedupScope.ALL
+            request.may_have_run_on >= 0
+            and request.cls.idempotency is Idempotency.KEYED
+            and request.cls.dedup_scope is not DedupScope.ALL
         ):
-            ready = [k for k in ready if self.same_dedup_scope(req, k)]
+            ready = [candidate_id for candidate_id in ready if self.same_dedup_scope(request, candidate_id)]
         # For servers that slow down the more they hold. Drawback: may refuse where all requests take long.
-        max_queued = req.cls.aim * QUEUE_AIM_SHARE * (BEYOND_QUOTA_RESERVE if req.beyond else 1.0)
+        max_queued = (
+            request.cls.aim * QUEUE_AIM_SHARE * (BEYOND_QUOTA_RESERVE if request.beyond_quota else 1.0)
+        )
         candidates: list[tuple[int, Server]] = []
         # Ejected ones only if no other is there: one that fails quickly has room for all that others lack.
         ejected_fit, healthy = list[tuple[int, Server]](), 0
-        drawn, cold_first = self.draw_candidates(ready, req)
-        for n, key in enumerate(drawn):
-            server = self.servers[key]
+        drawn, first_may_be_cold = self.draw_candidates(ready, request)
+        for position, server_id in enumerate(drawn):
+            server = self.servers[server_id]
             # A cold server is sent only what it was drawn first for, never as the other of two.
-            cold, ejected = self.capacity(server) < 1, server.failures.get(cls, [0.0, 0.0])[1] > self.now
-            full = len(server.in_flight) * self.slowness(server) * usual >= max_queued
-            if cold and (n or not cold_first) or key in avoid or full:
+            cold, ejected = (
+                self.capacity_share(server) < 1,
+                server.failures.get(class_index, [0.0, 0.0])[1] > self.now,
+            )
+            full = len(server.in_flight) * self.slowness(server) * usual_time >= max_queued
+            if cold and (position or not first_may_be_cold) or server_id in avoid or full:
                 healthy += not ejected
                 continue
             if cold and not ejected:
-                return key
-            (ejected_fit if ejected else candidates).append((key, server))
+                return server_id
+            (ejected_fit if ejected else candidates).append((server_id, server))
             if len(candidates) == 2:
                 break
         if not (candidates := candidates or ejected_fit[: 0 if healthy else 2]):
             return None
-        key, server = min(candidates, key=lambda kv: (self.expected_wait(kv[1], req), kv[0]))
-        failure = server.failures.get(req.event.cls)
+        server_id, server = min(
+            candidates, key=lambda candidate: (self.expected_wait(candidate[1], request), candidate[0])
+        )
+        failure = server.failures.get(request.event.cls)
         if failure and failure[0] > EJECT_SHARE:  # a trial: no other until it has ended
             failure[1] = self.now + failure[2]
-        return key
+        return server_id
 
-    def draw_candidates(self, ready: list[int], req: PendingRequest) -> tuple[list[int], bool]:
+    def draw_candidates(self, ready: list[int], request: PendingRequest) -> tuple[list[int], bool]:
         """Candidates at random, and whether the first may be a cold server.
 
         A cold server is drawn first, compared with a warm one, in proportion to its capacity: so all gateways
@@ -622,20 +708,21 @@
         cold. By rejection sampling: the cost does not grow with the servers."""
         drawn = self.rng.sample(ready, min(MAX_CANDIDATES, len(ready)))
         drawn.sort(
-            key=lambda k: (
-                self.settings.cross_zone_price > 0 and self.servers[k].entry.zone != self.settings.zone
+            key=lambda candidate_id: (
+                self.settings.cross_zone_price > 0
+                and self.servers[candidate_id].entry.zone != self.settings.zone
             )
         )
-        for key in self.untried:  # few requests would not reach it for long
-            if key in ready and (
-                req.cls.idempotency is Idempotency.SAFE or self.zone_share(self.servers[key]) > 0
+        for server_id in self.untried:  # few requests would not reach it for long
+            if server_id in ready and (
+                request.cls.idempotency is Idempotency.SAFE or self.zone_share(self.servers[server_id]) > 0
             ):
-                return [key, *(k for k in drawn if k != key)], True
+                return [server_id, *(other_id for other_id in drawn if other_id != server_id)], True
         for _ in range(MAX_CANDIDATES if drawn else 0):
-            first = self.rng.choice(ready)
-            share = self.capacity(self.servers[first])
+            first_id = self.rng.choice(ready)
+            share = self.capacity_share(self.servers[first_id])
             if share >= 1 or self.rng.random() < share * self.cold_factor * self.cold_damping(drawn):
-                return [first, *(k for k in drawn if k != first)], True
+                return [first_id, *(other_id for other_id in drawn if other_id != first_id)], True
         # All were rejected. If all zones are left, one there may be used; a cold one may not.
         return drawn, bool(drawn) and self.warm_share(self.servers[drawn[0]]) >= 1
 
@@ -643,82 +730,90 @@
         """Factor on a cold server's part where most of those drawn are cold.
 
         The less of the whole capacity is there, the more of the missing servers' traffic falls on each."""
-        available = sum(self.warm_share(self.servers[k]) for k in drawn) / len(drawn)
+        available = sum(self.warm_share(self.servers[server_id]) for server_id in drawn) / len(drawn)
         return min(1.0, available / MIN_WARM_SHARE)
 
-    def same_dedup_scope(self, req: PendingRequest, key: int) -> bool:
+    def same_dedup_scope(self, request: PendingRequest, server_id: int) -> bool:
         """Whether the server drops repeats together with the one that may have run the request."""
-        a, b = self.servers.get(req.ran_on), self.servers.get(key)
-        if a is None or b is None:
+        first, other = self.servers.get(request.may_have_run_on), self.servers.get(server_id)
+        if first is None or other is None:
             return False
-        zone = req.cls.dedup_scope is DedupScope.ZONE
-        return a.entry.zone == b.entry.zone if zone else a.entry.cell == b.entry.cell
+        by_zone = request.cls.dedup_scope is DedupScope.ZONE
+        return first.entry.zone == other.entry.zone if by_zone else first.entry.cell == other.entry.cell
 
     # --- attempts ----------------------------------------------------------------------------------------
-    def may_send(self, req: PendingRequest) -> bool:
+    def may_send(self, request: PendingRequest) -> bool:
         """Whether an attempt is allowed by idempotency, dedup window, number of attempts and deadline."""
-        if req.final or req.streaming or len(req.attempts) >= self.settings.max_attempts:
+        if request.final or request.streaming or len(request.attempts) >= self.settings.max_attempts:
             return False
-        if self.now >= req.deadline - self.settings.tick:
+        if self.now >= request.deadline - self.settings.tick:
             return False
-        if req.ran_on < 0 or req.cls.idempotency is Idempotency.SAFE:
+        if request.may_have_run_on < 0 or request.cls.idempotency is Idempotency.SAFE:
             return True
         return (
-            req.cls.idempotency is Idempotency.KEYED
-            and self.now + self.settings.tick < req.ran_at + req.cls.dedup_window
+            request.cls.idempotency is Idempotency.KEYED
+            and self.now + self.settings.tick < request.may_have_run_at + request.cls.dedup_window
         )
 
-    def dispatch(self, req: PendingRequest) -> None:
+    def dispatch(self, request: PendingRequest) -> None:
         """Sends an attempt, holds the request for a while if no server is listed, or gives it up."""
-        avoid, account = {a.server for a in req.attempts}, req.account
-        allowed = self.may_send(req) and (req.attempts or req.cleared or not self.should_shed(req))
-        key = self.choose_server(req, avoid) if allowed else None
-        if allowed and key is None and avoid:
-            key = self.choose_server(req, set())
-        if allowed and not self.ready and not self.banned and self.now < req.held_until:
-            self.held[req.id] = req
+        avoid, account = {a.server for a in request.attempts}, request.account
+        allowed = self.may_send(request) and (
+            request.attempts or request.passed_shedding or not self.should_shed(request)
+        )
+        server_id = self.choose_server(request, avoid) if allowed else None
+        if allowed and server_id is None and avoid:
+            server_id = self.choose_server(request, set())
+        if allowed and not self.ready and not self.banned and self.now < request.held_until:
+            self.held[request.id] = request
             return
-        if key is None:
-            return self.give_up(req)
-        server = self.servers[key]
-        if self.untried and key in self.untried:
-            self.untried.remove(key)
+        if server_id is None:
+            return self.give_up(request)
+        server = self.servers[server_id]
+        if self.untried and server_id in self.untried:
+            self.untried.remove(server_id)
             self.update_ready()
-        if not req.sent:
-            account.headroom -= req.cost * (req.capped or account.beyond_pays / account.spread)
-        req.sent = True
-        req.in_flight[n := len(req.attempts)] = key
-        req.attempts.append(attempt := Attempt(req, key, self.now, self.use_kept_connection(key, server)))
+        if not request.sent:
+            account.headroom -= request.cost * (
+                request.charges_ceiling or account.beyond_pays / account.spread
+            )
+        request.sent = True
+        request.in_flight[number := len(request.attempts)] = server_id
+        request.attempts.append(
+            attempt := Attempt(request, server_id, self.now, self.use_kept_connection(server_id, server))
+        )
         account.open_attempts += 1
-        if req.ran_on < 0:
-            req.ran_on, req.ran_at = key, self.now
-        server.in_flight[(req.id, n)] = math.inf if req.event.body_pending else self.now
-        if not req.event.body_pending:
-            self.start_timing(req, attempt)
-        self.actions.append(interface.Send(req.id, key, req.deadline))
-
-    def start_timing(self, req: PendingRequest, attempt: Attempt) -> None:
+        if request.may_have_run_on < 0:
+            request.may_have_run_on, request.may_have_run_at = server_id, self.now
+        server.in_flight[(request.id, number)] = math.inf if request.event.body_pending else self.now
+        if not request.event.body_pending:
+            self.start_timing(request, attempt)
+        self.actions.append(interface.Send(request.id, server_id, request.deadline))
+
+    def start_timing(self, request: PendingRequest, attempt: Attempt) -> None:
         """From now on the attempt is timed and counts as load; its body, if any, is written."""
         attempt.sent_at, attempt.is_load = self.now, True
-        self.sent_attempts[req.event.cls % len(self.sent_attempts)].append(attempt)
+        self.sent_attempts[request.event.cls % len(self.sent_attempts)].append(attempt)
         self.in_flight += 1
-        self.in_flight_aims += 1 / req.aim
-        self.in_flight_starts += self.now / req.aim
+        self.in_flight_aims += 1 / request.aim
+        self.in_flight_starts += self.now / request.aim
 
-    def use_kept_connection(self, key: int, server: Server) -> bool | None:
+    def use_kept_connection(self, server_id: int, server: Server) -> bool | None:
         """Whether the next attempt there uses a kept idle connection; None: there is one in use.
 
         Avoids connections that died unnoticed. Those of all servers are taken together, as one gateway uses
         each rarely, and compared with new ones, as congestion loses both. Drawback: opening one costs."""
         if server.in_flight or self.now - server.connection_used_at >= self.settings.idle_timeout:
             return None if server.in_flight else False
-        new, kept = (lost / (tried + 1) for lost, tried in zip(self.conn_losses, self.conn_uses, strict=True))
-        if kept <= STALE_LOSS_SHARE + 2 * new:
+        new_loss, kept_loss = (
+            losses / (uses + 1) for losses, uses in zip(self.conn_losses, self.conn_uses, strict=True)
+        )
+        if kept_loss <= STALE_LOSS_SHARE + 2 * new_loss:
             return True
-        self.actions.append(interface.Close(key))
+        self.actions.append(interface.Close(server_id))
         return False
 
-    def should_shed(self, req: PendingRequest) -> bool:
+    def should_shed(self, request: PendingRequest) -> bool:
         """Whether overload sheds the request, lowest worth first: by time over aim of recent answers and of
         attempts in flight, at all servers together, mixed with a few calm ones; whatever the cause is."""
         self.decay()
@@ -726,22 +821,22 @@
         overdue = self.overdue_load()
         outcomes = self.answered + overdue + self.in_flight + PRIOR_OUTCOMES
         load = (self.aim_ratios + 2 * overdue + age_ratios + PRIOR_OUTCOMES * SHED_START / 2) / outcomes
-        shed = min(0.95, self.shed + max(0.0, load - SHED_START) / (SHED_FULL - SHED_START))
-        req.shed = shed
-        if shed > 0 and not req.beyond:
-            mine = self.worth_per_time(req)
-            below = sum(w < mine for w in self.recent_worths) + self.rng.random() * sum(
-                w == mine for w in self.recent_worths
+        shed_share = min(0.95, self.shed + max(0.0, load - SHED_START) / (SHED_FULL - SHED_START))
+        request.shed_share = shed_share
+        if shed_share > 0 and not request.beyond_quota:
+            worth = self.worth_per_time(request)
+            rank = sum(other < worth for other in self.recent_worths) + self.rng.random() * sum(
+                other == worth for other in self.recent_worths
             )
-            shed -= below / len(self.recent_worths)
-        req.cleared = shed <= 0
-        if shed > 0:
+            shed_share -= rank / len(self.recent_worths)
+        request.passed_shedding = shed_share <= 0
+        if shed_share > 0:
             # Keeps old observations from upholding the shedding: the more is shed, the less new is observed.
             self.answered, self.aim_ratios = (
                 self.answered + SHED_WEIGHT,
                 self.aim_ratios + SHED_WEIGHT * SHED_START / 2,
             )
-        return shed > 0
+        return shed_share > 0
 
     def overdue_load(self) -> float:
         """How many lost or overdue attempts count as load: only as far as answers are slow too, or missing.
@@ -752,18 +847,20 @@
 
     def decay(self) -> None:
         """Ages the load figures. `shed` grows while many end late: clients may repeat until served."""
-        dt, self.decayed_at = self.now - self.decayed_at, self.now
+        elapsed, self.decayed_at = self.now - self.decayed_at, self.now
         overdue = self.overdue_load()
         excess = (self.late + overdue) / (self.answered + overdue + PRIOR_OUTCOMES) - LATE_SHARE_TARGET
-        self.shed = min(0.95, max(0.0, self.shed + excess * dt * (SHED_RISE if excess > 0 else SHED_FALL)))
-        keep = math.exp(-dt / DECAY_TIME)
+        self.shed = min(
+            0.95, max(0.0, self.shed + excess * elapsed * (SHED_RISE if excess > 0 else SHED_FALL))
+        )
+        decay_factor = math.exp(-elapsed / DECAY_TIME)
         self.conn_uses, self.conn_losses = (
-            [x * keep for x in self.conn_uses],
-            [x * keep for x in self.conn_losses],
+            [value * decay_factor for value in self.conn_uses],
+            [value * decay_factor for value in self.conn_losses],
         )
-        keep = math.exp(-dt / LOAD_DECAY_TIME)
+        decay_factor = math.exp(-elapsed / LOAD_DECAY_TIME)
         recent = self.answered, self.aim_ratios, self.late, self.overdue
-        self.answered, self.aim_ratios, self.late, self.overdue = (x * keep for x in recent)
+        self.answered, self.aim_ratios, self.late, self.overdue = (value * decay_factor for value in recent)
         for attempts, cls in zip(self.sent_attempts, self.settings.classes, strict=True):
             while attempts and (not attempts[0].is_load or self.now - attempts[0].sent_at >= cls.aim):
                 if (attempt := attempts.popleft()).is_load:
@@ -771,7 +868,7 @@
 
     def end_attempt(self, attempt: Attempt, lost: bool | None) -> None:
         """Takes an ended or overdue attempt out of the load. `lost`: not answered; None: not known."""
-        if (kept := attempt.kept) is not None and lost is not None:
+        if (kept := attempt.kept_connection) is not None and lost is not None:
             self.conn_uses[kept] += attempt.is_load
             self.conn_losses[kept] = max(0.0, self.conn_losses[kept] + attempt.is_load - (not lost))
         if attempt.is_load:
@@ -781,23 +878,28 @@
             self.in_flight_starts -= attempt.sent_at / attempt.request.aim
             if lost:
                 self.overdue += 1
-                self.loss_share += 2 * EWMA * (1 - self.loss_share)
+                self.loss_share += 2 * EWMA_WEIGHT * (1 - self.loss_share)
 
-    def worth_per_time(self, req: PendingRequest) -> float:
+    def worth_per_time(self, request: PendingRequest) -> float:
         """Worth per second of usual time: a class that now takes long is shed before one that is quick."""
-        return req.cls.worth * req.account.plan.price / self.usual[req.event.cls % len(self.usual)]
+        return (
+            request.cls.worth * request.account.plan.price / self.usual[request.event.cls % len(self.usual)]
+        )
 
     def on_outcome(self, event: interface.Outcome) -> None:
         """Takes the end of an attempt: learns, settles units, then closes, retries or gives up."""
-        server, req = self.servers.get(event.server), self.requests.get(event.request)
+        server, request = self.servers.get(event.server), self.requests.get(event.request)
         if server:
-            self.record_outcome(server, event, req)
-        if req is None:
+            self.record_outcome(server, event, request)
+        if request is None:
             return
-        if req.in_flight.pop(event.attempt, None) is not None:
-            req.account.open_attempts = max(0, req.account.open_attempts - 1)
-            attempt, elapsed = req.attempts[event.attempt], self.now - req.attempts[event.attempt].sent_at
-            may_be_slow = elapsed < LOST_TIME_FACTOR * self.usual[req.event.cls % len(self.usual)]
+        if request.in_flight.pop(event.attempt, None) is not None:
+            request.account.open_attempts = max(0, request.account.open_attempts - 1)
+            attempt, elapsed = (
+                request.attempts[event.attempt],
+                self.now - request.attempts[event.attempt].sent_at,
+            )
+            may_be_slow = elapsed < LOST_TIME_FACTOR * self.usual[request.event.cls % len(self.usual)]
             lost = event.end is End.RESET or event.end in (End.TIMEOUT, End.CANCELLED) and not may_be_slow
             answered = event.end in (End.OK, End.ERROR, End.REJECTED)
             if server:
@@ -805,54 +907,65 @@
             self.decay()
             self.end_attempt(attempt, lost if lost or answered else None)
             if not lost and event.end in (End.OK, End.REJECTED, End.TIMEOUT, End.CANCELLED):
-                aim_ratio = max(elapsed / req.aim, float(event.end in (End.REJECTED, End.TIMEOUT)))
+                aim_ratio = max(elapsed / request.aim, float(event.end in (End.REJECTED, End.TIMEOUT)))
                 self.answered, self.aim_ratios = self.answered + 1, self.aim_ratios + aim_ratio
                 self.late += aim_ratio >= 1
-                self.mean_aim_ratio += 2 * EWMA * (min(1.0, aim_ratio) - self.mean_aim_ratio)
-                self.loss_share *= 1 - 2 * EWMA
-        req.ran = req.ran or event.end not in interface.NEVER_RAN
-        if not req.ran and not req.in_flight:
-            req.ran_on, req.ran_at = -1, math.inf
-        account = req.account
-        if event.end is End.OK and event.true_units and not req.beyond and self.settings.charge_true_units:
-            difference = event.true_units - req.cost
+                self.mean_aim_ratio += 2 * EWMA_WEIGHT * (min(1.0, aim_ratio) - self.mean_aim_ratio)
+                self.loss_share *= 1 - 2 * EWMA_WEIGHT
+        request.may_have_run = request.may_have_run or event.end not in interface.NEVER_RAN
+        if not request.may_have_run and not request.in_flight:
+            request.may_have_run_on, request.may_have_run_at = -1, math.inf
+        account = request.account
+        if (
+            event.end is End.OK
+            and event.true_units
+            and not request.beyond_quota
+            and self.settings.charge_true_units
+        ):
+            difference = event.true_units - request.cost
             if account.window_s:
                 account.advance(self.now)
                 account.deficit = max(0.0, account.deficit + difference)
                 self.count_later(account, difference)
-            req.cost = event.true_units
+            request.cost = event.true_units
         if event.final or event.end is End.OK:
-            self.close_request(req)
-        elif not req.final and not req.in_flight:
+            self.close_request(request)
+        elif not request.final and not request.in_flight:
             uses_budget = event.end not in (End.CONNECT_FAILED, End.ERROR)  # others may be signs of load
             if (
                 event.end is End.NOT_SENT
                 or (uses_budget and self.retry_budget < 1)
-                or self.now >= req.deadline - self.settings.tick
+                or self.now >= request.deadline - self.settings.tick
             ):
-                self.give_up(req)
+                self.give_up(request)
             else:
                 self.retry_budget -= uses_budget
-                self.dispatch(req)
-        if req.final and not req.in_flight:
-            self.requests.pop(req.id, None)
+                self.dispatch(request)
+        if request.final and not request.in_flight:
+            self.requests.pop(request.id, None)
         self.release_held()
 
-    def record_outcome(self, server: Server, event: interface.Outcome, req: PendingRequest | None) -> None:
+    def record_outcome(
+        self, server: Server, event: interface.Outcome, request: PendingRequest | None
+    ) -> None:
         """Learns a server's speed, and ejects it for a class of which too large a share fails."""
         server.in_flight.pop((event.request, event.attempt), None)
-        cls = req.event.cls if req else 0
+        class_index = request.event.cls if request else 0
         if event.end is End.OK:
             server.last_ok_at = self.now
             if math.isfinite(queue_length := event.load.get("queue", 0.0)):
                 server.queue_length = min(max(0.0, queue_length), 20.0)
-            if req:
-                n = cls % len(self.usual)
-                server.slowdown += 2 * EWMA * (min(20.0, event.duration / self.usual[n]) - server.slowdown)
-                self.usual[n] += EWMA / 10 * (min(event.duration, 4 * self.usual[n]) - self.usual[n])
-            if cls in server.failures:
-                server.failures[cls] = [
-                    min(EJECT_SHARE, server.failures[cls][0] * (1 - ERROR_WEIGHT)),
+            if request:
+                index = class_index % len(self.usual)
+                server.slowdown += (
+                    2 * EWMA_WEIGHT * (min(20.0, event.duration / self.usual[index]) - server.slowdown)
+                )
+                self.usual[index] += (
+                    EWMA_WEIGHT / 10 * (min(event.duration, 4 * self.usual[index]) - self.usual[index])
+                )
+            if class_index in server.failures:
+                server.failures[class_index] = [
+                    min(EJECT_SHARE, server.failures[class_index][0] * (1 - ERROR_WEIGHT)),
                     0.0,
                     MIN_EJECT_TIME,
                 ]
@@ -863,49 +976,55 @@
         # One of forty gateways may use a server once in many seconds: the fewer samples in DECAY_TIME, the
         # more an error weighs, and the longer the first ejection is.
         samples = max(1.0, self.answered / LOAD_DECAY_TIME * DECAY_TIME / max(1, len(self.ready)))
-        step, first = max(ERROR_WEIGHT, RARE_WEIGHT / samples), max(MIN_EJECT_TIME, MAX_EJECT_TIME / samples)
+        error_weight, first_eject_time = (
+            max(ERROR_WEIGHT, RARE_ERROR_WEIGHT / samples),
+            max(MIN_EJECT_TIME, MAX_EJECT_TIME / samples),
+        )
         # By class: a server may fail or swallow one class, serve the others, and attract ever more by failing
         # quickly. A failed connect counts for all classes.
-        weight = {End.TIMEOUT: EWMA, End.CONNECT_FAILED: 1.0}.get(event.end, step)
-        for n in range(len(self.usual)) if event.end is End.CONNECT_FAILED else [cls]:
-            failure = server.failures.setdefault(n, [0.0, 0.0, first])
+        weight = {End.TIMEOUT: EWMA_WEIGHT, End.CONNECT_FAILED: 1.0}.get(event.end, error_weight)
+        for index in range(len(self.usual)) if event.end is End.CONNECT_FAILED else [class_index]:
+            failure = server.failures.setdefault(index, [0.0, 0.0, first_eject_time])
             failure[0] += (1 - failure[0]) * weight
             if failure[0] > EJECT_SHARE:
-                failure[1:] = [self.now + max(first, failure[2]), min(MAX_EJECT_TIME, 2 * failure[2])]
+                failure[1:] = [
+                    self.now + max(first_eject_time, failure[2]),
+                    min(MAX_EJECT_TIME, 2 * failure[2]),
+                ]
 
     # --- final answers and guards --------------------------------------------------------------------------
-    def close_request(self, req: PendingRequest) -> None:
+    def close_request(self, request: PendingRequest) -> None:
         """The request has its final answer, or its client has gone."""
-        req.final, req.undecided = True, False
+        request.final, request.undecided = True, False
         if self.settings.allow_cancel:  # no other answer is wanted
-            self.actions.extend(interface.Cancel(req.id, n) for n in req.in_flight)
-        self.held.pop(req.id, None)
-        if not req.sent:
-            self.refund(req)
-        if not req.in_flight:
-            self.requests.pop(req.id, None)
-
-    def safe_to_refuse(self, req: PendingRequest) -> bool:
+            self.actions.extend(interface.Cancel(request.id, attempt) for attempt in request.in_flight)
+        self.held.pop(request.id, None)
+        if not request.sent:
+            self.refund(request)
+        if not request.in_flight:
+            self.requests.pop(request.id, None)
+
+    def safe_to_refuse(self, request: PendingRequest) -> bool:
         """Whether repeating the request does no harm, as a refusal promises."""
-        if req.ran_on < 0 or req.cls.idempotency is Idempotency.SAFE:
+        if request.may_have_run_on < 0 or request.cls.idempotency is Idempotency.SAFE:
             return True
-        return req.cls.idempotency is Idempotency.KEYED and req.cls.dedup_scope is DedupScope.ALL
+        return request.cls.idempotency is Idempotency.KEYED and request.cls.dedup_scope is DedupScope.ALL
 
-    def refuse(self, req: PendingRequest) -> None:
+    def refuse(self, request: PendingRequest) -> None:
         """Refuses the request, with the time after which its client may repeat it."""
-        self.actions.append(interface.Refuse(req.id, self.retry_after(req)))
-        self.close_request(req)
+        self.actions.append(interface.Refuse(request.id, self.retry_after(request)))
+        self.close_request(request)
 
-    def give_up(self, req: PendingRequest) -> None:
+    def give_up(self, request: PendingRequest) -> None:
         """No server can take it, or none may: refuses it if a repeat does no harm, else fails it."""
-        req.shed = req.shed or 1.0  # the client is told to wait
-        if not req.sent and not req.beyond:
-            self.refund(req)
-            req.account.deficit = max(0.0, req.account.deficit - req.cost)
-        if self.safe_to_refuse(req):
-            return self.refuse(req)
-        self.actions.append(interface.Fail(req.id))
-        self.close_request(req)
+        request.shed_share = request.shed_share or 1.0  # the client is told to wait
+        if not request.sent and not request.beyond_quota:
+            self.refund(request)
+            request.account.deficit = max(0.0, request.account.deficit - request.cost)
+        if self.safe_to_refuse(request):
+            return self.refuse(request)
+        self.actions.append(interface.Fail(request.id))
+        self.close_request(request)
 
     def release_held(self) -> None:
         """Sends the held requests, the oldest first, as soon as a server may be chosen."""
@@ -914,10 +1033,10 @@
 
     def run_housekeeping(self) -> None:
         """Gives up held requests, counts units that no call has taken along, and drops idle accounts."""
-        for req in list(self.held.values()):
-            if self.now >= req.held_until:
-                self.held.pop(req.id)
-                self.give_up(req)
+        for request in list(self.held.values()):
+            if self.now >= request.held_until:
+                self.held.pop(request.id)
+                self.give_up(request)
         for account in list(self.uncounted.values()):
             account.advance(self.now)
             if not account.uncounted or self.now - account.uncounted_since > DEFER_WINDOWS * account.window_s:
--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -24,9 +24,9 @@
     return x ^ (x >> 31)
 
 
-def estimate_use(prev: float, current: float, left: float) -> float:
+def estimate_use(prev: float, current: float, remaining: float) -> float:
     """The weighted two-window count (units); `left` is the fraction of the current window still to come."""
-    return prev * left + current
+    return prev * remaining + current
 
 
 def fits(used: float, limit: float, cost: float) -> bool:
@@ -69,15 +69,15 @@
         # of the slack, and of what was refilled since its start: the one before it may have spent the rest.
         self.headroom = min(plan.ceiling_burst, plan.ceiling_slack + plan.ceiling_rate * uptime) / self.spread
 
-    def likely_prev(self, current: float, left: float) -> float:
+    def likely_prev(self, current: float, remaining: float) -> float:
         """The last window's total if use is steady: by the total so far and the use of others (units)."""
-        steady = (current + ASSUMED_USE * self.others_rate * self.window_s) / (1 - left + ASSUMED_USE)
+        steady = (current + ASSUMED_USE * self.others_rate * self.window_s) / (1 - remaining + ASSUMED_USE)
         return max(self.prev_total, min(self.limit, steady))
 
     def advance(self, now: float) -> None:
         """Moves to the window of `now`; the bucket refills by the rate less the assumed use of others."""
-        dt, self.updated_at = max(0.0, now - self.updated_at), max(now, self.updated_at)
-        refill = self.plan.ceiling_rate / self.spread * dt
+        elapsed, self.updated_at = max(0.0, now - self.updated_at), max(now, self.updated_at)
+        refill = self.plan.ceiling_rate / self.spread * elapsed
         self.headroom = max(self.headroom, min(self.plan.ceiling_burst / self.spread, self.headroom + refill))
         if not self.window_s:
             return
@@ -93,6 +93,6 @@
                 0.0,
             )
         self.uncounted *= now - self.uncounted_since <= 2 * self.window_s  # older windows count no more
-        assumed = min(self.others_rate, self.plan.rate * (1 - 1 / (2 * self.spread))) * dt
+        assumed = min(self.others_rate, self.plan.rate * (1 - 1 / (2 * self.spread))) * elapsed
         self.assumed_units = min(self.plan.burst, self.assumed_units + assumed)
-        self.deficit = max(0.0, self.deficit - self.plan.rate * dt + assumed)
+        self.deficit = max(0.0, self.deficit - self.plan.rate * elapsed + assumed)
--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -58,7 +58,7 @@
     "headroom",
 )
 ACCOUNT_FLAGS = ("prev_known", "stale")
-SERVER_FIELDS = ("slowdown", "queue_length", "last_ok_at", "returned_at")
+SERVER_FIELDS = ("slowdown", "queue_length", "last_ok_at", "unbanned_at")
 
 
 class SnapshotError(Exception):
@@ -80,7 +80,7 @@
                 server_id,
                 server.entry.started,
                 [getattr(server, name) for name in SERVER_FIELDS],
-                [[cls, *failure] for cls, failure in server.failures.items()],
+                [[class_index, *failure] for class_index, failure in server.failures.items()],
             ]
             for server_id, server in gateway.servers.items()
         ],
@@ -105,24 +105,28 @@
     A start is the server's `ServerEntry.started`, and a class an index of `Settings.classes`.
     """
     return [
-        (server_id, server.entry.started, cls, failure[1])
+        (server_id, server.entry.started, class_index, failure[1])
         for server_id, server in gateway.servers.items()
-        for cls, failure in server.failures.items()
+        for class_index, failure in server.failures.items()
         if failure[1] > now
     ]
 
 
 def adopt_ejection(
-    gateway: Gateway, server_id: int, started: float, cls: int, until: float, now: float
+    gateway: Gateway, server_id: int, started: float, class_index: int, until: float, now: float
 ) -> None:
     """Ejects a server for a class until a time, because another gateway has; at most for MAX_EJECT_TIME.
 
     Does nothing where no server with this start is listed, or there is no such class.
     """
     server = gateway.servers.get(server_id)
-    if server is None or server.entry.started != started or not 0 <= cls < len(gateway.settings.classes):
+    if (
+        server is None
+        or server.entry.started != started
+        or not 0 <= class_index < len(gateway.settings.classes)
+    ):
         return
-    failure = server.failures.setdefault(cls, [0.0, 0.0, MIN_EJECT_TIME])
+    failure = server.failures.setdefault(class_index, [0.0, 0.0, MIN_EJECT_TIME])
     # Just above the threshold: one good answer ends the ejection, one error confirms it.
     failure[0], failure[1] = (
         max(failure[0], EJECT_SHARE * 1.01),
@@ -176,7 +180,7 @@
     for server_id, started, values, failures in servers:
         server = gateway.servers.get(server_id)
         if server is not None and server.entry.started == started:
-            server.slowdown, server.queue_length, server.last_ok_at, server.returned_at = values
+            server.slowdown, server.queue_length, server.last_ok_at, server.unbanned_at = values
             server.failures = failures
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -110,7 +110,7 @@
         rig.request()
         assert rig.sends[-1].server == 3 and rig.gateway.count_avoided(rig.now) == 0
         rig.finish()
-        assert rig.gateway.capacity(rig.gateway.servers[3]) == pytest.approx(0.15)
+        assert rig.gateway.capacity_share(rig.gateway.servers[3]) == pytest.approx(0.15)
         for n in range(200):
             rig.request(account=n)
             rig.finish()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -17,20 +17,24 @@
 
 SOURCE = Path(starlinggap.__file__).with_name("brain.py").read_text()
 
-KEYED = "req.cls.idempotency is Idempotency.KEYED"
+KEYED = "request.cls.idempotency is Idempotency.KEYED"
 GUARDS = {
-    "drain": ("if v.entry.health is Health.READY}", "}", "drains"),
+    "drain": ("if server.entry.health is Health.READY", "", "drains"),
     "ban": ("listed_ready - self.banned.keys()", "listed_ready", "staff"),
     "unsafe repeat": (KEYED + "\n            and self.now + self.settings.tick", "self.now", "unsafe"),
-    "window": ("< req.ran_at + req.cls.dedup_window", "< math.inf", "after the window"),
+    "window": ("< request.may_have_run_at + request.cls.dedup_window", "< math.inf", "after the window"),
     "group": (
-        "ready = [k for k in ready if self.same_dedup_scope(req, k)]",
+        "ready = [candidate_id for candidate_id in ready if self.same_dedup_scope(request, candidate_id)]",
         "pass",
         "sent again outside the",
     ),
-    "refusal": (KEYED + " and req.cls.dedup_scope is DedupScope.ALL", "True", "refused"),
-    "ceiling": ("(not req.capped or account.headroom >= needed)", "True", "ceiling"),
-    "patience": ("request.budget / 2 - s.tick", "1.0", "overdue"),
+    "refusal": (KEYED + " and request.cls.dedup_scope is DedupScope.ALL", "True", "refused"),
+    "ceiling": (
+        "(\n            not request.charges_ceiling or account.headroom >= needed_headroom\n        )",
+        "True",
+        "ceiling",
+    ),
+    "patience": ("event.budget / 2 - settings.tick", "1.0", "overdue"),
 }
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -253,7 +253,7 @@
 
         return call
 
-    monkeypatch.setattr(Gateway, "capacity", counted(Gateway.capacity))
+    monkeypatch.setattr(Gateway, "capacity_share", counted(Gateway.capacity_share))
     monkeypatch.setattr(Account, "advance", counted(Account.advance))
     for n in range(200):
         rig.advance_to(rig.now + 0.01)
@@ -274,7 +274,7 @@
 def test_an_overloaded_counter_is_not_called_again_for_an_account_just_refused() -> None:
     rig = GatewayRig(settings())
     assert [rig.request(units=4.0) for _ in range(2)] == ["sent", "sent"]
-    rig.gateway.call_failed()  # now taken as overloaded
+    rig.gateway.record_failed_call()  # now taken as overloaded
     before = rig.call_count
     assert [rig.request(units=4.0) for _ in range(20)] == ["refused"] * 20
     assert rig.call_count <= before + 3
@@ -405,7 +405,7 @@
 def overloaded_after_counter_failure() -> GatewayRig:
     """A gateway whose counter has just failed once, and which sheds nearly all."""
     rig = GatewayRig(settings())
-    rig.gateway.call_failed()
+    rig.gateway.record_failed_call()
     rig.gateway.shed = 0.95
     rig.gateway.late = rig.gateway.answered = 50.0
     return rig
@@ -478,7 +478,7 @@
 def test_a_gateway_with_little_traffic_calls_a_recovered_counter_within_seconds() -> None:
     # One of forty gets few answers: if it grew by answers alone, its call share took ten seconds to recover.
     rig = GatewayRig(settings())
-    rig.gateway.call_failed()
+    rig.gateway.record_failed_call()
     rig.gateway.call_share = 0.05
     for n in range(16):
         rig.advance_to(rig.now + 0.25)
@@ -506,7 +506,7 @@
 def test_a_healthy_counter_that_is_far_away_is_called_for_all() -> None:
     # In another zone, each answer takes more than QUICK_ANSWER_SHARE of the timeout, but none is late.
     rig = GatewayRig(settings(), answering=False)
-    rig.gateway.call_failed()
+    rig.gateway.record_failed_call()
     for n in range(200):
         rig.advance_to(rig.now + 0.03)
         rig.request(account=n)
@@ -686,10 +686,10 @@
     rig.advance_to(10_000.0)
     rig.feed(interface.ServerList(interface.ListKind.CHANGES, (entry(4, started=rig.now - step),)))
     gateway = rig.gateway
-    assert gateway.capacity(gateway.servers[4]) == pytest.approx(0.15)
+    assert gateway.capacity_share(gateway.servers[4]) == pytest.approx(0.15)
     rig.advance_to(rig.now + 8.0)
     rig.feed(interface.ServerList(interface.ListKind.CHANGES, ()))
-    assert gateway.capacity(gateway.servers[4]) == pytest.approx(0.575)
+    assert gateway.capacity_share(gateway.servers[4]) == pytest.approx(0.575)
     rig.feed(
         interface.ServerList(interface.ListKind.CHANGES, (interface.ServerEntry(4, interface.Health.GONE),))
     )
@@ -697,7 +697,7 @@
     rig.advance_to(rig.now + 8.0)
     rig.feed(interface.ServerList(interface.ListKind.CHANGES, ()))
     # Listed again with a known start: by our clock, it was long ago, or is still to come.
-    assert gateway.capacity(gateway.servers[4]) == (1.0 if step > 0 else pytest.approx(0.575))
+    assert gateway.capacity_share(gateway.servers[4]) == (1.0 if step > 0 else pytest.approx(0.575))
 
 
 def test_servers_of_the_first_list_are_as_old_as_it_says() -> None:
@@ -705,4 +705,4 @@
     gateway.handle(10_000.0, [interface.ServerList(interface.ListKind.CACHED, (entry(1, started=5_000.0),))])
     both = entry(1, started=5_000.0), entry(2, started=5_000.0)
     gateway.handle(10_000.1, [interface.ServerList(interface.ListKind.COMPLETE, both)])
-    assert [gateway.capacity(s) for s in gateway.servers.values()] == [1.0, 1.0]
+    assert [gateway.capacity_share(s) for s in gateway.servers.values()] == [1.0, 1.0]
