--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -449,8 +449,8 @@
                 else account.likely_prev(total_before, remaining)
             )
         used = max(0.0, estimate_use(prev, total_before, remaining))
-        if account.stale or account.deficit > used:
-            account.deficit, account.stale = used, False
+        if account.deficit_stale or account.deficit > used:
+            account.deficit, account.deficit_stale = used, False
         if not account.prev_known and needs_prev and not fits(used, account.limit, request.cost):
             # The last window's total must be read; not needed while the cost fits whatever it held.
             account.waiting.append(request)
@@ -463,10 +463,10 @@
         within_quota = (
             fits(used, account.limit, request.cost) or request.cost <= account.limit - account.deficit
         )
-        decay_factor = math.exp((account.judged_at - self.now) / (3 * DECAY_TIME))
-        account.judged, account.admitted, account.judged_at = (
-            account.judged * decay_factor + 1,
-            account.admitted * decay_factor + within_quota,
+        decay_factor = math.exp((account.counts_decayed_at - self.now) / (3 * DECAY_TIME))
+        account.decision_count, account.admitted_count, account.counts_decayed_at = (
+            account.decision_count * decay_factor + 1,
+            account.admitted_count * decay_factor + within_quota,
             self.now,
         )
         self.admit_shares[request.event.is_retry] += (
@@ -488,10 +488,10 @@
         """The share of such requests that totals admitted lately: the account's, else all accounts'."""
         account, decay_factor = (
             request.account,
-            math.exp((request.account.judged_at - self.now) / (3 * DECAY_TIME)),
+            math.exp((request.account.counts_decayed_at - self.now) / (3 * DECAY_TIME)),
         )
-        return (account.admitted * decay_factor + self.admit_shares[request.event.is_retry]) / (
-            account.judged * decay_factor + 1
+        return (account.admitted_count * decay_factor + self.admit_shares[request.event.is_retry]) / (
+            account.decision_count * decay_factor + 1
         )
 
     def apply_decision(self, request: PendingRequest, within_quota: bool, by_total: bool = False) -> None:
@@ -513,7 +513,8 @@
         )
         needed_headroom = (
             request.cost
-            + max(reserve, account.deficit * (not account.stale and not account.beyond_pays)) / account.spread
+            + max(reserve, account.deficit * (not account.deficit_stale and not account.beyond_pays))
+            / account.spread
         )
         if not within_quota:
             self.refund(request)
--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -39,7 +39,7 @@
 
     `total`: of the current window, as last told by the counter; `own_units`: what this gateway added of it;
     `lost_units`: what the counter has lost of it. `uncounted`: units left to the next counter call, below 0
-    to be taken back. `deficit`: units missing from the token bucket; `stale`: not followed lately.
+    to be taken back. `deficit`: units missing from the token bucket; `deficit_stale`: not followed lately.
     `assumed_units`: what others are assumed to have used since the last total. `headroom`: units left of this
     gateway's part of the ceiling. `spread`: gateways, times cores, over which the account is spread.
     """
@@ -59,10 +59,10 @@
         ) = 0.0
         self.prev_known = self.reading_prev = False
         self.waiting: list[Any] = []  # requests that wait for the last window's total
-        self.deficit, self.stale = ASSUMED_USE * self.limit, True
+        self.deficit, self.deficit_stale = ASSUMED_USE * self.limit, True
         self.others_rate = ASSUMED_USE * plan.rate * (1 - 1 / self.spread)  # admitted by others, units/s
-        self.judged = self.admitted = 0.0  # requests decided and admitted by totals; they decay
-        self.updated_at = self.seen_at = self.uncounted_since = self.judged_at = now
+        self.decision_count = self.admitted_count = 0.0  # requests decided and admitted by totals; they decay
+        self.updated_at = self.seen_at = self.uncounted_since = self.counts_decayed_at = now
         self.total_at = self.denied_until = -math.inf
         self.open_attempts = 0
         # A ceiling is split evenly, so that no gateway needs to know of another. A new process has its part
@@ -83,7 +83,7 @@
             return
         window = int(now // self.window_s)
         if window > self.window:
-            self.stale = self.stale or window > self.window + 1
+            self.deficit_stale = self.deficit_stale or window > self.window + 1
             self.prev_total = self.total if window == self.window + 1 else 0.0
             self.window, self.prev_known, self.total, self.own_units, self.lost_units = (
                 window,
--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -52,12 +52,12 @@
     "total_at",
     "denied_until",
     "seen_at",
-    "judged",
-    "admitted",
-    "judged_at",
+    "decision_count",
+    "admitted_count",
+    "counts_decayed_at",
     "headroom",
 )
-ACCOUNT_FLAGS = ("prev_known", "stale")
+ACCOUNT_FLAGS = ("prev_known", "deficit_stale")
 SERVER_FIELDS = ("slowdown", "queue_length", "last_ok_at", "unbanned_at")
 
 
@@ -194,7 +194,7 @@
     account = Account(request, gateway.settings.plans[plan], now, 0.0)
     for name, value in zip(ACCOUNT_FIELDS, parse_numbers(values, len(ACCOUNT_FIELDS)), strict=True):
         setattr(account, name, value)
-    account.window, (account.prev_known, account.stale) = int(window), (bool(flag) for flag in flags)
+    account.window, (account.prev_known, account.deficit_stale) = int(window), (bool(flag) for flag in flags)
     return account
 
 
