--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -169,15 +169,17 @@
         self.counter_probe_at = self.call_share_cut_at = self.counts_lost_at = -math.inf
         self.uncounted: dict[int, Account] = {}
         self.admit_shares = [1.0, 1.0]  # recently admitted by totals: of first tries, of repeats
-        self.usual = [cls.aim / 5 for cls in settings.classes]  # usual time by class (s), learned
+        self.usual_times = [cls.aim / 5 for cls in settings.classes]  # usual time by class (s), learned
         self.retry_budget = MAX_RETRY_BUDGET
         self.conn_uses, self.conn_losses = [0.0, 0.0], [0.0, 0.0]  # recent, on new connections, on kept ones
         self.held: OrderedDict[int, PendingRequest] = OrderedDict()
         self.recent_worths: deque[float] = deque(maxlen=WORTH_SAMPLES)  # see `worth_per_time`
         # Load: attempts in flight and not overdue, their sums of 1 / aim and of start / aim; recent answers,
         # their sum of time / aim, the late ones among them; recent attempts that are overdue or lost.
-        self.in_flight = self.in_flight_aims = self.in_flight_starts = 0.0
-        self.answered = self.aim_ratios = self.late = self.overdue = self.shed = self.decayed_at = 0.0
+        self.in_flight_count = self.in_flight_inverse_aims = self.in_flight_start_ratios = 0.0
+        self.recent_answers = self.recent_aim_ratios = self.recent_late = self.recent_overdue = (
+            self.late_shed_share
+        ) = self.decayed_at = 0.0
         self.sent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
         self.mean_aim_ratio, self.loss_share = SHED_START, 0.0  # of recent answers; lost share
         self.housekeeping_set, self.list_asked_at = False, -math.inf
@@ -646,7 +648,8 @@
         if server.in_flight:
             oldest_start = next(iter(server.in_flight.values()))
             slowness = max(
-                slowness, (self.now - oldest_start) / (2 * self.usual[request.event.cls % len(self.usual)])
+                slowness,
+                (self.now - oldest_start) / (2 * self.usual_times[request.event.cls % len(self.usual_times)]),
             )
         zone_price = self.settings.cross_zone_price if server.entry.zone != self.settings.zone else 0.0
         if self.now - server.connection_used_at >= self.settings.idle_timeout:
@@ -659,7 +662,7 @@
         class_index, ready, usual_time = (
             request.event.cls,
             self.ready,
-            self.usual[request.event.cls % len(self.usual)],
+            self.usual_times[request.event.cls % len(self.usual_times)],
         )
         if (
             request.may_have_run_on >= 0
@@ -795,9 +798,9 @@
         """From now on the attempt is timed and counts as load; its body, if any, is written."""
         attempt.sent_at, attempt.is_load = self.now, True
         self.sent_attempts[request.event.cls % len(self.sent_attempts)].append(attempt)
-        self.in_flight += 1
-        self.in_flight_aims += 1 / request.aim
-        self.in_flight_starts += self.now / request.aim
+        self.in_flight_count += 1
+        self.in_flight_inverse_aims += 1 / request.aim
+        self.in_flight_start_ratios += self.now / request.aim
 
     def use_kept_connection(self, server_id: int, server: Server) -> bool | None:
         """Whether the next attempt there uses a kept idle connection; None: there is one in use.
@@ -818,11 +821,13 @@
         """Whether overload sheds the request, lowest worth first: by time over aim of recent answers and of
         attempts in flight, at all servers together, mixed with a few calm ones; whatever the cause is."""
         self.decay()
-        age_ratios = self.now * self.in_flight_aims - self.in_flight_starts
+        age_ratios = self.now * self.in_flight_inverse_aims - self.in_flight_start_ratios
         overdue = self.overdue_load()
-        outcomes = self.answered + overdue + self.in_flight + PRIOR_OUTCOMES
-        load = (self.aim_ratios + 2 * overdue + age_ratios + PRIOR_OUTCOMES * SHED_START / 2) / outcomes
-        shed_share = min(0.95, self.shed + max(0.0, load - SHED_START) / (SHED_FULL - SHED_START))
+        outcomes = self.recent_answers + overdue + self.in_flight_count + PRIOR_OUTCOMES
+        load = (
+            self.recent_aim_ratios + 2 * overdue + age_ratios + PRIOR_OUTCOMES * SHED_START / 2
+        ) / outcomes
+        shed_share = min(0.95, self.late_shed_share + max(0.0, load - SHED_START) / (SHED_FULL - SHED_START))
         request.shed_share = shed_share
         if shed_share > 0 and not request.beyond_quota:
             worth = self.worth_per_time(request)
@@ -833,9 +838,9 @@
         request.passed_shedding = shed_share <= 0
         if shed_share > 0:
             # Keeps old observations from upholding the shedding: the more is shed, the less new is observed.
-            self.answered, self.aim_ratios = (
-                self.answered + SHED_WEIGHT,
-                self.aim_ratios + SHED_WEIGHT * SHED_START / 2,
+            self.recent_answers, self.recent_aim_ratios = (
+                self.recent_answers + SHED_WEIGHT,
+                self.recent_aim_ratios + SHED_WEIGHT * SHED_START / 2,
             )
         return shed_share > 0
 
@@ -844,15 +849,19 @@
 
         Shedding is no help against what quick servers lose (dead connections, swallowed requests). Drawback:
         a few congested servers among quick ones are left to the choice of servers."""
-        return self.overdue * min(1.0, max(2 * self.mean_aim_ratio / SHED_START - 1, self.loss_share**2))
+        return self.recent_overdue * min(
+            1.0, max(2 * self.mean_aim_ratio / SHED_START - 1, self.loss_share**2)
+        )
 
     def decay(self) -> None:
-        """Ages the load figures. `shed` grows while many end late: clients may repeat until served."""
+        """Ages the load figures. `late_shed_share` grows while many end late, as clients may then repeat."""
         elapsed, self.decayed_at = self.now - self.decayed_at, self.now
         overdue = self.overdue_load()
-        excess = (self.late + overdue) / (self.answered + overdue + PRIOR_OUTCOMES) - LATE_SHARE_TARGET
-        self.shed = min(
-            0.95, max(0.0, self.shed + excess * elapsed * (SHED_RISE if excess > 0 else SHED_FALL))
+        excess = (self.recent_late + overdue) / (
+            self.recent_answers + overdue + PRIOR_OUTCOMES
+        ) - LATE_SHARE_TARGET
+        self.late_shed_share = min(
+            0.95, max(0.0, self.late_shed_share + excess * elapsed * (SHED_RISE if excess > 0 else SHED_FALL))
         )
         decay_factor = math.exp(-elapsed / DECAY_TIME)
         self.conn_uses, self.conn_losses = (
@@ -860,8 +869,10 @@
             [value * decay_factor for value in self.conn_losses],
         )
         decay_factor = math.exp(-elapsed / LOAD_DECAY_TIME)
-        recent = self.answered, self.aim_ratios, self.late, self.overdue
-        self.answered, self.aim_ratios, self.late, self.overdue = (value * decay_factor for value in recent)
+        recent = self.recent_answers, self.recent_aim_ratios, self.recent_late, self.recent_overdue
+        self.recent_answers, self.recent_aim_ratios, self.recent_late, self.recent_overdue = (
+            value * decay_factor for value in recent
+        )
         for attempts, cls in zip(self.sent_attempts, self.settings.classes, strict=True):
             while attempts and (not attempts[0].is_load or self.now - attempts[0].sent_at >= cls.aim):
                 if (attempt := attempts.popleft()).is_load:
@@ -874,17 +885,19 @@
             self.conn_losses[kept] = max(0.0, self.conn_losses[kept] + attempt.is_load - (not lost))
         if attempt.is_load:
             attempt.is_load = False
-            self.in_flight -= 1
-            self.in_flight_aims -= 1 / attempt.request.aim
-            self.in_flight_starts -= attempt.sent_at / attempt.request.aim
+            self.in_flight_count -= 1
+            self.in_flight_inverse_aims -= 1 / attempt.request.aim
+            self.in_flight_start_ratios -= attempt.sent_at / attempt.request.aim
             if lost:
-                self.overdue += 1
+                self.recent_overdue += 1
                 self.loss_share += 2 * EWMA_WEIGHT * (1 - self.loss_share)
 
     def worth_per_time(self, request: PendingRequest) -> float:
         """Worth per second of usual time: a class that now takes long is shed before one that is quick."""
         return (
-            request.cls.worth * request.account.plan.price / self.usual[request.event.cls % len(self.usual)]
+            request.cls.worth
+            * request.account.plan.price
+            / self.usual_times[request.event.cls % len(self.usual_times)]
         )
 
     def on_outcome(self, event: interface.Outcome) -> None:
@@ -900,7 +913,9 @@
                 request.attempts[event.attempt],
                 self.now - request.attempts[event.attempt].sent_at,
             )
-            may_be_slow = elapsed < LOST_TIME_FACTOR * self.usual[request.event.cls % len(self.usual)]
+            may_be_slow = (
+                elapsed < LOST_TIME_FACTOR * self.usual_times[request.event.cls % len(self.usual_times)]
+            )
             lost = event.end is End.RESET or event.end in (End.TIMEOUT, End.CANCELLED) and not may_be_slow
             answered = event.end in (End.OK, End.ERROR, End.REJECTED)
             if server:
@@ -909,8 +924,11 @@
             self.end_attempt(attempt, lost if lost or answered else None)
             if not lost and event.end in (End.OK, End.REJECTED, End.TIMEOUT, End.CANCELLED):
                 aim_ratio = max(elapsed / request.aim, float(event.end in (End.REJECTED, End.TIMEOUT)))
-                self.answered, self.aim_ratios = self.answered + 1, self.aim_ratios + aim_ratio
-                self.late += aim_ratio >= 1
+                self.recent_answers, self.recent_aim_ratios = (
+                    self.recent_answers + 1,
+                    self.recent_aim_ratios + aim_ratio,
+                )
+                self.recent_late += aim_ratio >= 1
                 self.mean_aim_ratio += 2 * EWMA_WEIGHT * (min(1.0, aim_ratio) - self.mean_aim_ratio)
                 self.loss_share *= 1 - 2 * EWMA_WEIGHT
         request.may_have_run = request.may_have_run or event.end not in interface.NEVER_RAN
@@ -957,12 +975,14 @@
             if math.isfinite(queue_length := event.load.get("queue", 0.0)):
                 server.queue_length = min(max(0.0, queue_length), 20.0)
             if request:
-                index = class_index % len(self.usual)
+                index = class_index % len(self.usual_times)
                 server.slowdown += (
-                    2 * EWMA_WEIGHT * (min(20.0, event.duration / self.usual[index]) - server.slowdown)
+                    2 * EWMA_WEIGHT * (min(20.0, event.duration / self.usual_times[index]) - server.slowdown)
                 )
-                self.usual[index] += (
-                    EWMA_WEIGHT / 10 * (min(event.duration, 4 * self.usual[index]) - self.usual[index])
+                self.usual_times[index] += (
+                    EWMA_WEIGHT
+                    / 10
+                    * (min(event.duration, 4 * self.usual_times[index]) - self.usual_times[index])
                 )
             if class_index in server.failures:
                 server.failures[class_index] = [
@@ -976,7 +996,7 @@
             return
         # One of forty gateways may use a server once in many seconds: the fewer samples in DECAY_TIME, the
         # more an error weighs, and the longer the first ejection is.
-        samples = max(1.0, self.answered / LOAD_DECAY_TIME * DECAY_TIME / max(1, len(self.ready)))
+        samples = max(1.0, self.recent_answers / LOAD_DECAY_TIME * DECAY_TIME / max(1, len(self.ready)))
         error_weight, first_eject_time = (
             max(ERROR_WEIGHT, RARE_ERROR_WEIGHT / samples),
             max(MIN_EJECT_TIME, MAX_EJECT_TIME / samples),
@@ -984,7 +1004,7 @@
         # By class: a server may fail or swallow one class, serve the others, and attract ever more by failing
         # quickly. A failed connect counts for all classes.
         weight = {End.TIMEOUT: EWMA_WEIGHT, End.CONNECT_FAILED: 1.0}.get(event.end, error_weight)
-        for index in range(len(self.usual)) if event.end is End.CONNECT_FAILED else [class_index]:
+        for index in range(len(self.usual_times)) if event.end is End.CONNECT_FAILED else [class_index]:
             failure = server.failures.setdefault(index, [0.0, 0.0, first_eject_time])
             failure[0] += (1 - failure[0]) * weight
             if failure[0] > EJECT_SHARE:
--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -29,16 +29,16 @@
     "cut_at": "call_share_cut_at",
     "forgot_at": "counts_lost_at",
     "retries": "retry_budget",
-    "answered": "answered",
-    "took": "aim_ratios",
-    "late": "late",
-    "missed": "overdue",
-    "shed": "shed",
+    "answered": "recent_answers",
+    "took": "recent_aim_ratios",
+    "late": "recent_late",
+    "missed": "recent_overdue",
+    "shed": "late_shed_share",
     "ended_at": "decayed_at",
     "pace": "mean_aim_ratio",
     "unanswered": "loss_share",
 }
-LISTS = {"let_in": "admit_shares", "usual": "usual", "tried": "conn_uses", "lost": "conn_losses"}
+LISTS = {"let_in": "admit_shares", "usual": "usual_times", "tried": "conn_uses", "lost": "conn_losses"}
 # Attributes of Account and Server. The record has their values without names, in this order.
 ACCOUNT_FIELDS = (
     "total",
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -394,20 +394,20 @@
         if rig.request(account=n, budget=0.3) == "sent":
             rig.advance_to(rig.now + 0.3 * (n % 2))
             rig.finish(interface.End.TIMEOUT if n % 2 else interface.End.OK, took=0.1)
-    assert rig.gateway.shed > 0.4
+    assert rig.gateway.late_shed_share > 0.4
     for n in range(400, 800):
         rig.advance_to(rig.now + 0.05)
         if rig.request(account=n) == "sent":
             rig.finish()
-    assert rig.gateway.shed == 0.0
+    assert rig.gateway.late_shed_share == 0.0
 
 
 def overloaded_after_counter_failure() -> GatewayRig:
     """A gateway whose counter has just failed once, and which sheds nearly all."""
     rig = GatewayRig(settings())
     rig.gateway.record_failed_call()
-    rig.gateway.shed = 0.95
-    rig.gateway.late = rig.gateway.answered = 50.0
+    rig.gateway.late_shed_share = 0.95
+    rig.gateway.recent_late = rig.gateway.recent_answers = 50.0
     return rig
 
 
@@ -450,14 +450,19 @@
     # gateways shedding nearly all for ten seconds, with the servers idle.
     rig = GatewayRig(settings(use_counter=False, plans=(interface.Plan(),)))
     gateway = rig.gateway
-    gateway.shed, gateway.answered, gateway.aim_ratios, gateway.late, gateway.overdue = (
-        0.95, 16.0, 14.0, 8.0, 6.0)  # fmt: skip
+    (
+        gateway.late_shed_share,
+        gateway.recent_answers,
+        gateway.recent_aim_ratios,
+        gateway.recent_late,
+        gateway.recent_overdue,
+    ) = (0.95, 16.0, 14.0, 8.0, 6.0)
     gateway.mean_aim_ratio, gateway.loss_share, gateway.decayed_at = 0.9, 0.3, rig.now
     for n in range(56):  # 8 a second for 7 s
         rig.advance_to(n / 8)
         if rig.request(account=n) == "sent":
             rig.finish_in(0.16)
-    assert gateway.shed < 0.4
+    assert gateway.late_shed_share < 0.4
 
 
 def test_an_overloaded_counter_is_called_first_for_what_is_worth_most() -> None:
@@ -494,7 +499,9 @@
     assert len(refused) > 45
     for _ in range(len(rig.sends)):
         rig.finish()
-    rig.gateway.shed = rig.gateway.late = rig.gateway.aim_ratios = rig.gateway.overdue = 0.0
+    rig.gateway.late_shed_share = rig.gateway.recent_late = rig.gateway.recent_aim_ratios = (
+        rig.gateway.recent_overdue
+    ) = 0.0
     assert rig.gateway.call_share < 1.0  # the counter is still taken as overloaded
     before = rig.call_count
     for n in refused[:20]:
@@ -559,19 +566,19 @@
             took = 2.0 if lost else 0.08 if answers == "quick" else 0.4
             rig.finish_in(took, interface.End.TIMEOUT if lost else interface.End.OK)
     sent = sum(s.request > 300 for s in rig.sends)
-    assert sent < 100 if sheds else sent > 290 and rig.gateway.shed == 0
+    assert sent < 100 if sheds else sent > 290 and rig.gateway.late_shed_share == 0
 
 
 def test_shed_requests_are_told_to_retry_at_different_times() -> None:
     rig = GatewayRig(settings(use_counter=False))
-    rig.gateway.shed = 0.95
-    rig.gateway.late = rig.gateway.answered = 50.0
+    rig.gateway.late_shed_share = 0.95
+    rig.gateway.recent_late = rig.gateway.recent_answers = 50.0
     while len(rig.refusals) < 50:
         rig.request(account=rig.request_number)
     waits = [r.retry_after for r in rig.refusals]
     assert min(waits) > 0.1 and max(waits) < 0.4 and len(set(waits)) > 40
-    rig.gateway.shed, before = 0.05, len(rig.refusals)
-    rig.gateway.late = 0.0
+    rig.gateway.late_shed_share, before = 0.05, len(rig.refusals)
+    rig.gateway.recent_late = 0.0
     while len(rig.refusals) < before + 5:
         rig.request(account=rig.request_number)
     assert max(r.retry_after for r in rig.refusals[before:]) < min(waits)
@@ -597,7 +604,7 @@
                 rig.finish()
         assert set(states) == {"sent", final}
     elif path == "shed":
-        rig.gateway.shed, rig.gateway.late, rig.gateway.answered = 0.95, 50.0, 50.0
+        rig.gateway.late_shed_share, rig.gateway.recent_late, rig.gateway.recent_answers = 0.95, 50.0, 50.0
         assert final in [rig.request(account=n) for n in range(20)]
     elif path == "no server fits":
         assert [rig.request(account=n) for n in range(9)][-1] == final
@@ -633,7 +640,7 @@
     # With all of them ejected, any is better than none.
     rig.gateway.servers[1].failures = {0: [1.0, 1e9, 8.0]}
     rig.gateway.servers[1].in_flight.clear()
-    rig.gateway.shed = rig.gateway.in_flight_aims = 0.0
+    rig.gateway.late_shed_share = rig.gateway.in_flight_inverse_aims = 0.0
     assert rig.request(account=0) == "sent"
 
 
