--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -167,11 +167,14 @@
             settings.counter_timeout,
         )
         self.counter_probe_at = self.call_share_cut_at = self.counts_lost_at = -math.inf
-        self.uncounted: dict[int, Account] = {}
+        self.uncounted_accounts: dict[int, Account] = {}
         self.admit_shares = [1.0, 1.0]  # recently admitted by totals: of first tries, of repeats
         self.usual_times = [cls.aim / 5 for cls in settings.classes]  # usual time by class (s), learned
         self.retry_budget = MAX_RETRY_BUDGET
-        self.conn_uses, self.conn_losses = [0.0, 0.0], [0.0, 0.0]  # recent, on new connections, on kept ones
+        self.connection_uses, self.connection_losses = (
+            [0.0, 0.0],
+            [0.0, 0.0],
+        )  # recent, on new connections, on kept ones
         self.held: OrderedDict[int, PendingRequest] = OrderedDict()
         self.recent_worths: deque[float] = deque(maxlen=WORTH_SAMPLES)  # see `worth_per_time`
         # Load: attempts in flight and not overdue, their sums of 1 / aim and of start / aim; recent answers,
@@ -182,7 +185,7 @@
         ) = self.decayed_at = 0.0
         self.sent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
         self.mean_aim_ratio, self.loss_share = SHED_START, 0.0  # of recent answers; lost share
-        self.housekeeping_set, self.list_asked_at = False, -math.inf
+        self.housekeeping_timer_set, self.list_asked_at = False, -math.inf
         self.cold_factor = min(1.0, settings.collapse_ratio * COLD_BUDGET_SHARE / WARM_PEAK_LOAD)
 
     # --- events ------------------------------------------------------------------------------------------
@@ -223,8 +226,8 @@
         ):
             self.list_asked_at = self.now
             self.actions.append(interface.WatchList())
-        if not self.housekeeping_set and (self.held or self.uncounted or self.accounts):
-            self.housekeeping_set = True
+        if not self.housekeeping_timer_set and (self.held or self.uncounted_accounts or self.accounts):
+            self.housekeeping_timer_set = True
             self.set_timer(HOUSEKEEPING_PERIOD if self.held else IDLE_PERIOD, None)
         return self.actions
 
@@ -240,11 +243,11 @@
             return
         call = self.timers.pop(token)
         if call is None:
-            self.housekeeping_set = False
+            self.housekeeping_timer_set = False
             self.run_housekeeping()
         elif (request := call.request) and request.undecided and call.admitted_locally is None:
             self.record_failed_call()
-            if request not in request.account.waiting:
+            if request not in request.account.waiting_requests:
                 request.counted = None
             self.decide_locally(request)
             if request.counted is None:
@@ -317,8 +320,8 @@
         self, account: Account, amount: float, request: PendingRequest | None, windows_ago: int = 0
     ) -> CounterCall:
         """Adds `amount` to the total of `windows_ago` windows ago; uncounted units go with it."""
-        carried = 0.0 if windows_ago else account.uncounted
-        account.uncounted -= carried
+        carried = 0.0 if windows_ago else account.uncounted_units
+        account.uncounted_units -= carried
         call = CounterCall(account, windows_ago, amount, carried, request)
         name = counter_name(account.id, call.window)
         self.calls.setdefault(name, deque()).append(call)
@@ -331,10 +334,10 @@
     def count_later(self, account: Account, amount: float, at_once: bool = False) -> None:
         """Leaves units, or a refund (below 0), to the next counter call; `at_once`: makes that call."""
         if amount and account.window_s and self.settings.use_counter:
-            account.uncounted_since = account.uncounted_since if account.uncounted else self.now
-            account.uncounted += amount
-            self.uncounted[account.id] = account
-            if at_once and account.uncounted * amount > 0:  # not for a refund of uncounted units
+            account.uncounted_since = account.uncounted_since if account.uncounted_units else self.now
+            account.uncounted_units += amount
+            self.uncounted_accounts[account.id] = account
+            if at_once and account.uncounted_units * amount > 0:  # not for a refund of uncounted units
                 self.call_counter(account, 0.0, None)
 
     def record_failed_call(self) -> None:
@@ -386,7 +389,7 @@
                 self.count_later(account, call.carried)
         if call.reads_previous:
             account.reading_prev = False
-            waiting, account.waiting = account.waiting, []
+            waiting, account.waiting_requests = account.waiting_requests, []
             for waiting_request in waiting:
                 if waiting_request.undecided:
                     (
@@ -455,7 +458,7 @@
             account.deficit, account.deficit_stale = used, False
         if not account.prev_known and needs_prev and not fits(used, account.limit, request.cost):
             # The last window's total must be read; not needed while the cost fits whatever it held.
-            account.waiting.append(request)
+            account.waiting_requests.append(request)
             if not account.reading_prev:
                 account.reading_prev = True
                 self.call_counter(account, 0.0, request, windows_ago=1)
@@ -478,8 +481,8 @@
 
     def decide_locally(self, request: PendingRequest) -> None:
         """Decides without the counter: by the bucket as last known, and the use assumed of others."""
-        if request in request.account.waiting:
-            request.account.waiting.remove(request)
+        if request in request.account.waiting_requests:
+            request.account.waiting_requests.remove(request)
         account = request.account
         within_quota = request.cost <= account.limit - account.deficit
         # A share of the quota below one request is granted by chance, as often as totals admitted lately.
@@ -676,7 +679,7 @@
         )
         candidates: list[tuple[int, Server]] = []
         # Ejected ones only if no other is there: one that fails quickly has room for all that others lack.
-        ejected_fit, healthy = list[tuple[int, Server]](), 0
+        ejected_candidates, healthy = list[tuple[int, Server]](), 0
         drawn, first_may_be_cold = self.draw_candidates(ready, request)
         for position, server_id in enumerate(drawn):
             server = self.servers[server_id]
@@ -691,10 +694,10 @@
                 continue
             if cold and not ejected:
                 return server_id
-            (ejected_fit if ejected else candidates).append((server_id, server))
+            (ejected_candidates if ejected else candidates).append((server_id, server))
             if len(candidates) == 2:
                 break
-        if not (candidates := candidates or ejected_fit[: 0 if healthy else 2]):
+        if not (candidates := candidates or ejected_candidates[: 0 if healthy else 2]):
             return None
         server_id, server = min(
             candidates, key=lambda candidate: (self.expected_wait(candidate[1], request), candidate[0])
@@ -761,7 +764,7 @@
 
     def dispatch(self, request: PendingRequest) -> None:
         """Sends an attempt, holds the request for a while if no server is listed, or gives it up."""
-        avoid, account = {a.server for a in request.attempts}, request.account
+        avoid, account = {earlier.server for earlier in request.attempts}, request.account
         allowed = self.may_send(request) and (
             request.attempts or request.passed_shedding or not self.should_shed(request)
         )
@@ -810,7 +813,8 @@
         if server.in_flight or self.now - server.connection_used_at >= self.settings.idle_timeout:
             return None if server.in_flight else False
         new_loss, kept_loss = (
-            losses / (uses + 1) for losses, uses in zip(self.conn_losses, self.conn_uses, strict=True)
+            losses / (uses + 1)
+            for losses, uses in zip(self.connection_losses, self.connection_uses, strict=True)
         )
         if kept_loss <= STALE_LOSS_SHARE + 2 * new_loss:
             return True
@@ -864,9 +868,9 @@
             0.95, max(0.0, self.late_shed_share + excess * elapsed * (SHED_RISE if excess > 0 else SHED_FALL))
         )
         decay_factor = math.exp(-elapsed / DECAY_TIME)
-        self.conn_uses, self.conn_losses = (
-            [value * decay_factor for value in self.conn_uses],
-            [value * decay_factor for value in self.conn_losses],
+        self.connection_uses, self.connection_losses = (
+            [value * decay_factor for value in self.connection_uses],
+            [value * decay_factor for value in self.connection_losses],
         )
         decay_factor = math.exp(-elapsed / LOAD_DECAY_TIME)
         recent = self.recent_answers, self.recent_aim_ratios, self.recent_late, self.recent_overdue
@@ -881,8 +885,10 @@
     def end_attempt(self, attempt: Attempt, lost: bool | None) -> None:
         """Takes an ended or overdue attempt out of the load. `lost`: not answered; None: not known."""
         if (kept := attempt.kept_connection) is not None and lost is not None:
-            self.conn_uses[kept] += attempt.is_load
-            self.conn_losses[kept] = max(0.0, self.conn_losses[kept] + attempt.is_load - (not lost))
+            self.connection_uses[kept] += attempt.is_load
+            self.connection_losses[kept] = max(
+                0.0, self.connection_losses[kept] + attempt.is_load - (not lost)
+            )
         if attempt.is_load:
             attempt.is_load = False
             self.in_flight_count -= 1
@@ -1058,11 +1064,14 @@
             if self.now >= request.held_until:
                 self.held.pop(request.id)
                 self.give_up(request)
-        for account in list(self.uncounted.values()):
+        for account in list(self.uncounted_accounts.values()):
             account.advance(self.now)
-            if not account.uncounted or self.now - account.uncounted_since > DEFER_WINDOWS * account.window_s:
-                del self.uncounted[account.id]
-                if account.uncounted and self.call_share >= 1:  # if overloaded, they wait or lapse
+            if (
+                not account.uncounted_units
+                or self.now - account.uncounted_since > DEFER_WINDOWS * account.window_s
+            ):
+                del self.uncounted_accounts[account.id]
+                if account.uncounted_units and self.call_share >= 1:  # if overloaded, they wait or lapse
                     self.call_counter(account, 0.0, None)
         while self.accounts:
             account = next(iter(self.accounts.values()))
@@ -1070,7 +1079,7 @@
             if (
                 self.now - account.seen_at < max(ACCOUNT_IDLE_TIME, TTL_WINDOWS * account.window_s)
                 or account.open_attempts
-                or account.waiting
+                or account.waiting_requests
             ):
                 break
             del self.accounts[account.id]
--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -38,10 +38,10 @@
     """What this gateway knows of one account.
 
     `total`: of the current window, as last told by the counter; `own_units`: what this gateway added of it;
-    `lost_units`: what the counter has lost of it. `uncounted`: units left to the next counter call, below 0
-    to be taken back. `deficit`: units missing from the token bucket; `deficit_stale`: not followed lately.
-    `assumed_units`: what others are assumed to have used since the last total. `headroom`: units left of this
-    gateway's part of the ceiling. `spread`: gateways, times cores, over which the account is spread.
+    `lost_units`: what the counter has lost of it. `uncounted_units`: units left to the next counter call,
+    below 0 to be taken back. `deficit`: units missing from the token bucket; `deficit_stale`: not followed
+    lately. `assumed_units`: what others are assumed to have used since the last total. `headroom`: units left
+    of this gateway's part of the ceiling. `spread`: gateways, times cores, over which the account is spread.
     """
 
     def __init__(self, request: interface.Request, plan: interface.Plan, now: float, uptime: float) -> None:
@@ -54,11 +54,11 @@
             plan.over_worth > plan.over_cost,
         )
         self.window = int(now // self.window_s) if self.window_s else 0
-        self.total = self.own_units = self.lost_units = self.prev_total = self.uncounted = (
+        self.total = self.own_units = self.lost_units = self.prev_total = self.uncounted_units = (
             self.assumed_units
         ) = 0.0
         self.prev_known = self.reading_prev = False
-        self.waiting: list[Any] = []  # requests that wait for the last window's total
+        self.waiting_requests: list[Any] = []  # requests that wait for the last window's total
         self.deficit, self.deficit_stale = ASSUMED_USE * self.limit, True
         self.others_rate = ASSUMED_USE * plan.rate * (1 - 1 / self.spread)  # admitted by others, units/s
         self.decision_count = self.admitted_count = 0.0  # requests decided and admitted by totals; they decay
@@ -92,7 +92,7 @@
                 0.0,
                 0.0,
             )
-        self.uncounted *= now - self.uncounted_since <= 2 * self.window_s  # older windows count no more
+        self.uncounted_units *= now - self.uncounted_since <= 2 * self.window_s  # older windows count no more
         assumed = min(self.others_rate, self.plan.rate * (1 - 1 / (2 * self.spread))) * elapsed
         self.assumed_units = min(self.plan.burst, self.assumed_units + assumed)
         self.deficit = max(0.0, self.deficit - self.plan.rate * elapsed + assumed)
--- a/starlinggap/slow_start.py
+++ b/starlinggap/slow_start.py
@@ -27,14 +27,14 @@
         A start that is announced while we serve has just happened, however long ago it seems by our clock.
         One that lies in the future is taken as now.
         """
-        known = self.starts.get(entry.server)
+        known_start = self.starts.get(entry.server)
         self.starts[entry.server] = entry.started
         self.starts.move_to_end(entry.server)
         while len(self.starts) > MAX_STARTS:
             self.starts.popitem(last=False)
         if entry.started <= 0:
             return 0.0
-        new_start = self.list_seen and known != entry.started
+        new_start = self.list_seen and known_start != entry.started
         if entry.started > now or new_start and now - entry.started >= self.duration:
             return now
         return entry.started
--- a/starlinggap/snapshot.py
+++ b/starlinggap/snapshot.py
@@ -38,7 +38,12 @@
     "pace": "mean_aim_ratio",
     "unanswered": "loss_share",
 }
-LISTS = {"let_in": "admit_shares", "usual": "usual_times", "tried": "conn_uses", "lost": "conn_losses"}
+LISTS = {
+    "let_in": "admit_shares",
+    "usual": "usual_times",
+    "tried": "connection_uses",
+    "lost": "connection_losses",
+}
 # Attributes of Account and Server. The record has their values without names, in this order.
 ACCOUNT_FIELDS = (
     "total",
