--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -1,6 +1,8 @@
 """The decisions of one gateway: quota, choice of servers, load shedding, retries and ejection.
 
-The types are in interface.py; the docstring of the package follows a request through this module."""
+The types are in interface.py; the docstring of the package follows a request through this module.
+Points in time (names that end in `_at` or `_until`) are seconds by the clock that `Gateway.handle` is given.
+"""
 
 from __future__ import annotations
 
@@ -13,56 +15,73 @@
 from starlinggap.quota import MAX_NAME_TTL, TTL_WINDOWS, Account, counter_name, estimate_use, fits
 from starlinggap.slow_start import SlowStart
 
-# --- constants (times in seconds, unless a share of a setting) -------------------------------------------
+# --- constants -------------------------------------------------------------------------------------------
+# Times are in seconds. Where a comment begins with "of", the value is a share of what it names.
+
+# Calls of the shared counter.
 COUNTER_WAIT_SHARE = 0.6  # of counter_timeout: a healthy answer takes a tenth of it, and a client is waiting
-# A busy counter is waited for longer, up to the lesser of these: that does no harm.
+# A busy counter is waited for longer, up to the lesser of these two: that does no harm.
 MAX_COUNTER_WAIT_SHARE, COUNTER_WAIT_AIM_SHARE = 0.95, 0.035  # of counter_timeout; of the aim
-QUICK_ANSWER_SHARE = 0.3  # of counter_timeout: quicker answers, or any within twice the least time, show room
-CALL_SHARE_STEP, CALL_SHARE_CUT = 0.03, 0.7  # added by a quick answer; factor after a failed call
-CALL_SHARE_RISE = 0.2  # added per second while the newest is quick: one gateway of many has few answers
+# Of counter_timeout: an answer within this time, or within twice the least that one took lately, is quick and
+# shows that the counter has room for more calls.
+QUICK_ANSWER_SHARE = 0.3
+CALL_SHARE_STEP, CALL_SHARE_CUT = 0.03, 0.7  # added by a quick answer; factor after a failed or late one
+CALL_SHARE_RISE = 0.2  # added per s while the newest answer is quick: one gateway of many gets few
 CALL_SHARE_SLOW = 0.95  # factor after a slow answer: more calls would lengthen its queue in vain
-MIN_CALL_SHARE = 0.25  # after a quick answer: a counter that has recovered is used again at once
+MIN_CALL_SHARE = 0.25  # at least, after a quick answer: a counter that has recovered is used again at once
 MIN_STAKE_WEIGHT = 0.3  # factor on call_share for requests that are worth next to nothing
 COUNTER_PROBE_INTERVAL = 3.0  # s, times 0.5 to 1.5 at random: a counter that is not called is read so often
-DEFER_WINDOWS = 0.25  # windows that uncounted units wait for another call, and that a refusal by total stands
-HOUSEKEEPING_PERIOD, IDLE_PERIOD = 0.05, 0.25  # s between rounds, with requests held and without
+# Windows for which uncounted units wait for another call to take them along, and for which a refusal by the
+# counter's total stands.
+DEFER_WINDOWS = 0.25
+HOUSEKEEPING_PERIOD, IDLE_PERIOD = 0.05, 0.25  # s between rounds, with held requests and without
 EWMA_WEIGHT = 0.1  # weight of the newest value in an exponential moving average: about the last ten count
+
+# Choice of servers and ejection.
 COLD_BUDGET_SHARE = 0.6  # of the collapse limit: chance and costly requests need some room
 WARM_PEAK_LOAD = 1.5  # times its capacity: a warm server is sent no more, even before overload sheds
 MIN_WARM_SHARE = 0.35  # of the whole capacity: with less of it there, cold servers get less than their part
 MAX_CANDIDATES = 8  # servers drawn at most to find two that can take a request
 DECAY_TIME = 10.0  # s, time constant of what is known of a server's speed; 3x that for an account's decisions
 EJECT_SHARE = 0.5  # failed share of a class's recent attempts at a server: above it the server is ejected
-# Of an error at a server that is tried once or less in DECAY_TIME: one is enough there.
+# Weight of an error at a server that is tried once or less in DECAY_TIME: one is enough to eject it.
 RARE_ERROR_WEIGHT = 0.9
-ERROR_WEIGHT = 0.3  # of an error elsewhere: three in a row eject, one or two are chance
-MIN_EJECT_TIME, MAX_EJECT_TIME = 0.5, 8.0  # s out after the first ejection, and at most: it doubles
-STALE_LOSS_SHARE = 0.1  # lost on kept connections, beyond twice that on new ones: above it none is reused
+ERROR_WEIGHT = 0.3  # weight of an error elsewhere: three in a row eject, one or two are chance
+MIN_EJECT_TIME, MAX_EJECT_TIME = 0.5, 8.0  # s; of the first ejection and at most: each lasts twice the last
+# Share of attempts lost on kept connections, beyond twice that on new ones, above which none is reused.
+STALE_LOSS_SHARE = 0.1
 RETRY_BUDGET_RATIO = 0.1  # further attempts for each request: more would feed an overload
 MAX_RETRY_BUDGET = 10.0  # further attempts that may be saved up
 NEW_CONNECTION_FACTOR = 1.5  # on the expected wait: opening one costs the server, and so all gateways
 QUEUE_AIM_SHARE = 0.4  # of the aim: a server is sent no more than it works off, one by one, in that time
+
+# Load shedding.
 SHED_START, SHED_FULL = 0.3, 0.8  # of the aim: expected times between these shed more and more requests
 LOST_TIME_FACTOR = 4.0  # times the usual time: an attempt given up sooner may just be slow for its client
-LATE_SHARE_TARGET = 0.25  # share of recent ends late or lost: shedding grows above it, shrinks below
-SHED_RISE, SHED_FALL = 0.5, 3.0  # times that excess, per s: attempts sent before the shedding still end late
+LATE_SHARE_TARGET = 0.25  # of recent ends, late or lost: shedding grows above it and shrinks below
+# Change of the shed share per s and per excess over that target. It rises slowly, because attempts that were
+# sent before the shedding still end late.
+SHED_RISE, SHED_FALL = 0.5, 3.0
 LOAD_DECAY_TIME = 3.0  # s, time constant of the load: long for one gateway's traffic, short beside an outage
 SHED_WEIGHT = 0.4  # calm outcomes that a shed request counts as, so that old observations fade
 PRIOR_OUTCOMES = 1.5  # calm outcomes, at half of SHED_START, that one gateway's few outcomes are mixed with
 WORTH_SAMPLES = 200  # recent requests among which a request's worth is ranked
+
+# Others.
 ACCOUNT_IDLE_TIME = 15.0  # s for which an account not seen is kept at least: many come only once
 HOLD_SHARE = 0.5  # of the aim: a request that no server can take is held this long, then refused
-TOTAL_LOST_ENDS = (End.ERROR, End.RESET)  # the counter has added the units, but the total did not arrive
+# Ends of a counter call of which the units were added, but the total did not arrive.
+TOTAL_LOST_ENDS = (End.ERROR, End.RESET)
 BEYOND_QUOTA_RESERVE = 0.5  # of the local ceiling, and of the aim: kept free of beyond-quota requests
 
 
 class Attempt:
-    """One attempt at a server.
-
-    `kept_connection`: on a kept idle connection, or a new one; None: on one in use. `is_load`: timed and not
-    overdue."""
+    """One attempt at a server, from its Send action until its Outcome."""
 
     def __init__(self, request: PendingRequest, server: int, at: float, kept: bool | None) -> None:
+        # sent_at: for a request with a body, when the body was written.
+        # kept_connection: True if on a kept idle connection, False on a new one, None on one already in use.
+        # is_load: whether it counts as load, which it does while it is timed and not yet overdue.
         self.request, self.server, self.sent_at, self.kept_connection, self.is_load = (
             request,
             server,
@@ -75,9 +94,8 @@
 class PendingRequest:
     """A request that still lacks its final answer, or whose attempts are still in flight.
 
-    `passed_shedding`: not shed by overload. `charges_ceiling`: charged to this gateway's part of the ceiling.
-    `beyond_quota`: over its quota. `may_have_run`: an attempt may have run. `counted`: its units are on the
-    counter; None: not known."""
+    `cls` is its RequestClass; the index of that is `event.cls`.
+    """
 
     def __init__(
         self, event: interface.Request, cls: interface.RequestClass, account: Account, now: float
@@ -90,20 +108,26 @@
             now + HOLD_SHARE * min(cls.aim, 0.8 * event.budget), self.deadline - 2 * HOUSEKEEPING_PERIOD
         )
         self.attempts: list[Attempt] = []
-        self.in_flight: dict[int, int] = {}  # attempt: server
-        # When and where the first one was sent that may have run.
+        self.in_flight: dict[int, int] = {}  # server by attempt number
+        # When and where the first attempt was sent that may have run; infinite and -1: there is none.
         self.may_have_run_at, self.may_have_run_on = math.inf, -1
+        # undecided: it waits for the quota decision. shed_share: share of requests that overload shed when
+        # this one was last checked, or 1 if it was given up.
         self.undecided, self.shed_share = True, 0.0
+        # passed_shedding: overload does not shed it. charges_ceiling: it is charged to this gateway's part of
+        # the ceiling. final: it has its final answer, or its client has gone. beyond_quota: it does not fit
+        # the quota. sent: at least one attempt was sent. streaming: the client has got the first bytes of an
+        # answer. may_have_run: an attempt has ended that may have run.
         self.passed_shedding = self.charges_ceiling = self.final = self.beyond_quota = self.sent = (
             self.streaming
         ) = self.may_have_run = False
-        self.counted: bool | None = False
+        self.counted: bool | None = False  # whether its units are on the counter; None: not known yet
+        # In units; at first as the client's request tells, later as the server reports.
         self.cost = event.units if 0 < event.units < math.inf else 1.0
 
 
 class CounterCall:
-    """An unanswered counter call. `admitted_locally`: whether its request was admitted without it; None: it
-    waits."""
+    """An unanswered counter call, for a request or, if `request` is None, for the account alone."""
 
     def __init__(
         self,
@@ -113,30 +137,35 @@
         carried: float,
         request: PendingRequest | None,
     ):
+        # amount: units of the request, or 0 to read only. carried: uncounted units that are added with it.
         self.account, self.window, self.amount, self.carried = (
             account,
             account.window - windows_ago,
             amount,
             carried,
         )
-        # reread: of a lost total
+        # reads_previous: it reads the last window's total, for all requests of the account that wait for it.
+        # reread: the total of the first call was lost and is read again.
         self.request, self.reads_previous, self.reread = request, windows_ago > 0, False
+        # Whether the request was admitted without this answer; None: it waits for it, or needs none.
         self.admitted_locally: bool | None = None
 
 
 class Server:
-    """A server as this gateway sees it; all times by the gateway's clock.
-
-    `unbanned_at`: when a ban was lifted, 0: never. `connection_used_at`: when a connection last worked there.
-    `slowdown`: time over the usual. `in_flight`: start by request and attempt; infinite: body not sent."""
+    """What this gateway knows of a server; all times by the gateway's clock."""
 
     def __init__(
         self, entry: interface.ServerEntry, now: float, started_at: float, unbanned_at: float = 0.0
     ) -> None:
+        # slowdown: moving average of an answer's time over the usual. unbanned_at: 0 if no ban was lifted.
         self.entry, self.slowdown, self.unbanned_at = entry, 1.0, unbanned_at
-        self.started_at = started_at
-        self.failures: dict[int, list[float]] = {}  # by class: failed share, ejected until, next ejection (s)
+        self.started_at = started_at  # 0: long ago
+        # By class index: failed share of recent attempts, ejected until, length of the next ejection (s).
+        self.failures: dict[int, list[float]] = {}
+        # Start by request and attempt number, the oldest first; infinite: its body is not yet written.
         self.in_flight: dict[tuple[int, int], float] = {}
+        # connection_used_at: when a connection last worked; minus infinite: none is known to work.
+        # queue_length: requests, as the server last reported.
         self.last_ok_at, self.connection_used_at, self.queue_length = now, -math.inf, 0.0
 
 
@@ -147,45 +176,53 @@
         check_settings(settings)
         self.settings, self.rng = settings, random.Random(seed)
         self.now, self.actions = 0.0, list[Action]()
-        self.started_at = math.inf  # of this process: when the first events came
-        self.accounts: OrderedDict[int, Account] = OrderedDict()
+        self.started_at = math.inf  # when the first events came; infinite: none yet
+        self.accounts: OrderedDict[int, Account] = OrderedDict()  # by number; the last used is the last
         self.requests, self.servers = dict[int, PendingRequest](), dict[int, Server]()
         self.ready: list[int] = []  # servers that may be chosen, sorted by id
-        self.banned: dict[int, float] = {}  # by staff, since when: until lifted, listed or not
-        self.untried: list[int] = []  # unbanned or on trial, and not sent to since
+        self.banned: dict[int, float] = {}  # since when; stands until staff lift it, listed or not
+        self.untried: list[int] = []  # servers back from a ban or on trial, and not sent to since
         self.slow_start = SlowStart(settings)
-        self.zone_shares: dict[int, float] = {}  # of zones that the fleet has left (0), or returns to
+        self.zone_shares: dict[int, float] = {}  # as last told: 0 if the fleet has left the zone, 1 as usual
+        # Unanswered counter calls by counter name, the oldest first. Timers by token; None: for housekeeping.
         self.calls, self.timers = dict[int, deque[CounterCall]](), dict[int, CounterCall | None]()
-        # Of timers; of worth * price * units, see `should_call_counter`.
+        # last_token: of the newest timer. mean_stake: moving average of worth * price * units of a request,
+        # see `should_call_counter`.
         self.last_token, self.mean_stake = 0, 1.0
-        # Share of requests that call the counter, as of when; below 1, the counter is taken as overloaded.
-        # Whether its newest answer was quick, and the least time of a recent one.
+        # Share of requests that call the counter, and as of when; below 1 the counter is taken as overloaded.
+        # Whether its newest answer was quick, and the least time of a recent answer (s).
         self.call_share, self.call_share_at, self.counter_quick, self.counter_min_time = (
             1.0,
             0.0,
             True,
             settings.counter_timeout,
         )
+        # When a counter that is not called is read next; when `call_share` was last cut; when the counter was
+        # last found to have lost counts. Minus infinite: never so far.
         self.counter_probe_at = self.call_share_cut_at = self.counts_lost_at = -math.inf
-        self.uncounted_accounts: dict[int, Account] = {}
-        self.admit_shares = [1.0, 1.0]  # recently admitted by totals: of first tries, of repeats
-        self.usual_times = [cls.aim / 5 for cls in settings.classes]  # usual time by class (s), learned
-        self.retry_budget = MAX_RETRY_BUDGET
-        self.connection_uses, self.connection_losses = (
-            [0.0, 0.0],
-            [0.0, 0.0],
-        )  # recent, on new connections, on kept ones
-        self.held: OrderedDict[int, PendingRequest] = OrderedDict()
+        self.uncounted_accounts: dict[int, Account] = {}  # those with units that no call has added yet
+        # Share of requests that totals admitted lately, of all accounts: of first tries, and of repeats.
+        self.admit_shares = [1.0, 1.0]
+        self.usual_times = [cls.aim / 5 for cls in settings.classes]  # of an answer, by class (s); learned
+        self.retry_budget = MAX_RETRY_BUDGET  # attempts beyond the first that may be sent now
+        # Recent attempts with a known end, and the lost ones of them: on new connections, on kept ones.
+        self.connection_uses, self.connection_losses = [0.0, 0.0], [0.0, 0.0]
+        self.held: OrderedDict[int, PendingRequest] = OrderedDict()  # until a server is listed; oldest first
         self.recent_worths: deque[float] = deque(maxlen=WORTH_SAMPLES)  # see `worth_per_time`
-        # Load: attempts in flight and not overdue, their sums of 1 / aim and of start / aim; recent answers,
-        # their sum of time / aim, the late ones among them; recent attempts that are overdue or lost.
+        # Attempts in flight that are not overdue: number, sum of 1 / aim, sum of start / aim.
         self.in_flight_count = self.in_flight_inverse_aims = self.in_flight_start_ratios = 0.0
+        # Numbers that decay with LOAD_DECAY_TIME: answers, the sum of their time / aim, the late ones among
+        # them, and attempts that are overdue or lost. late_shed_share: the share of requests that is shed
+        # because many end late, beyond what the load of the moment sheds. decayed_at: when all were aged.
         self.recent_answers = self.recent_aim_ratios = self.recent_late = self.recent_overdue = (
             self.late_shed_share
         ) = self.decayed_at = 0.0
+        # By class, the oldest first, until they are overdue; ended ones are passed over.
         self.sent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
-        self.mean_aim_ratio, self.loss_share = SHED_START, 0.0  # of recent answers; lost share
+        # Moving averages: time / aim of answers, at most 1; the share of attempts that are lost or overdue.
+        self.mean_aim_ratio, self.loss_share = SHED_START, 0.0
         self.housekeeping_timer_set, self.list_asked_at = False, -math.inf
+        # Part of a warm server's requests that a cold one is sent, relative to its share of capacity.
         self.cold_factor = min(1.0, settings.collapse_ratio * COLD_BUDGET_SHARE / WARM_PEAK_LOAD)
 
     # --- events ------------------------------------------------------------------------------------------
@@ -238,7 +275,7 @@
         self.actions.append(interface.Timer(self.now + delay, self.last_token))
 
     def on_timer(self, token: int) -> None:
-        """Housekeeping (no call), or a counter call is late: its request is decided locally."""
+        """Runs the housekeeping, or decides a request locally whose counter call is late."""
         if token not in self.timers:
             return
         call = self.timers.pop(token)
@@ -409,7 +446,11 @@
             self.count_later(account, call.amount if call.admitted_locally else -call.amount, at_once=True)
 
     def apply_total(self, account: Account, call: CounterCall, total: float, max_drop: float) -> float:
-        """Updates the account by a total, and by what it tells of other gateways' use; returns the total."""
+        """Updates the account by a total, and by what it tells of other gateways' use.
+
+        Returns the total (units), corrected where the counter has lost counts. `max_drop`: a total that is
+        lower than expected by more than this many units cannot be explained by refunds in flight.
+        """
         added = call.amount + call.carried
         if call.window == account.window:
             total += account.lost_units
@@ -490,7 +531,9 @@
         self.apply_decision(request, within_quota and self.rng.random() < chance)
 
     def admit_chance(self, request: PendingRequest) -> float:
-        """The share of such requests that totals admitted lately: the account's, else all accounts'."""
+        """The share of such requests that totals admitted lately: the account's, mixed with the share of all
+        accounts, which weighs as one decision.
+        """
         account, decay_factor = (
             request.account,
             math.exp((request.account.counts_decayed_at - self.now) / (3 * DECAY_TIME)),
@@ -545,7 +588,9 @@
             self.count_later(request.account, -request.cost, at_once=True)
 
     def retry_after(self, request: PendingRequest) -> float:
-        """When the bucket will hold the cost (s); the later the more is shed, and spread out at random."""
+        """How long the client should wait (s): until the bucket holds the cost, and under overload the longer
+        the more is shed, spread out at random.
+        """
         account = request.account
         wait = (
             max(0.0, account.deficit + request.cost - account.limit) / account.plan.rate
@@ -598,7 +643,10 @@
         return self.zone_shares.get(server.entry.zone, 1.0)
 
     def on_zone(self, event: interface.ZoneShare) -> None:
-        """Cancels repeatable attempts in a zone that is left. A trial server takes the next such request."""
+        """Notes a zone's share; if the zone is left, cancels attempts of SAFE requests there.
+
+        Its trial server, if one is named, gets the next request that may go there.
+        """
         self.zone_shares[event.zone] = event.share
         for request in self.requests.values() if event.share <= 0 and self.settings.allow_cancel else ():
             for attempt, server_id in (
@@ -614,8 +662,11 @@
         self.update_ready()
 
     def on_ban(self, event: interface.BanChanged) -> None:
-        """Bans a server, or lifts its ban and drops its history. With no later start listed, it counts as
-        started now: it may have been restarted meanwhile, and lists tell of that late."""
+        """Bans a server, or lifts its ban and drops its history.
+
+        If no start after the ban is listed, the server counts as started now: it may have been restarted
+        meanwhile, and lists tell of that late.
+        """
         if event.banned:
             self.banned[event.server] = event.at
         elif (banned_at := self.banned.pop(event.server, None)) is not None:
@@ -642,11 +693,13 @@
         return self.slow_start.share(max(server.started_at, server.unbanned_at), self.now)
 
     def slowness(self, server: Server) -> float:
-        """Its time over the usual; returns to 1 as the last answer ages, since it says little by then."""
+        """The server's time over the usual; returns to 1 as its last answer ages, which says little then."""
         return 1 + (server.slowdown - 1) * math.exp((server.last_ok_at - self.now) / DECAY_TIME)
 
     def expected_wait(self, server: Server, request: PendingRequest) -> float:
-        """Expected time there, relative to the usual: by its speed, queue and our oldest attempt."""
+        """Expected time at the server, relative to the usual: by its speed, its queue, the age of the oldest
+        attempt there, its weight, the price of another zone, and whether a connection must be opened.
+        """
         slowness = self.slowness(server)
         if server.in_flight:
             oldest_start = next(iter(server.in_flight.values()))
@@ -661,7 +714,10 @@
         return slowness * (1 + zone_price) * (1 + len(server.in_flight) + server.queue_length) / weight
 
     def choose_server(self, request: PendingRequest, avoid: set[int]) -> int | None:
-        """The better of two servers drawn at random that can take the request; None if none can."""
+        """The better of two servers drawn at random that can take the request; None if none can.
+
+        `avoid`: servers that have had an attempt of it.
+        """
         class_index, ready, usual_time = (
             request.event.cls,
             self.ready,
@@ -712,7 +768,8 @@
 
         A cold server is drawn first, compared with a warm one, in proportion to its capacity: so all gateways
         together, many or few, even or uneven, send it that part of what a warm one gets, however many are
-        cold. By rejection sampling: the cost does not grow with the servers."""
+        cold. By rejection sampling: the cost does not grow with the servers.
+        """
         drawn = self.rng.sample(ready, min(MAX_CANDIDATES, len(ready)))
         drawn.sort(
             key=lambda candidate_id: (
@@ -736,12 +793,13 @@
     def cold_damping(self, drawn: list[int]) -> float:
         """Factor on a cold server's part where most of those drawn are cold.
 
-        The less of the whole capacity is there, the more of the missing servers' traffic falls on each."""
+        The less of the whole capacity is there, the more of the missing servers' traffic falls on each.
+        """
         available = sum(self.warm_share(self.servers[server_id]) for server_id in drawn) / len(drawn)
         return min(1.0, available / MIN_WARM_SHARE)
 
     def same_dedup_scope(self, request: PendingRequest, server_id: int) -> bool:
-        """Whether the server drops repeats together with the one that may have run the request."""
+        """Whether the server recognises repeats together with the one that may have run the request."""
         first, other = self.servers.get(request.may_have_run_on), self.servers.get(server_id)
         if first is None or other is None:
             return False
@@ -798,7 +856,7 @@
         self.actions.append(interface.Send(request.id, server_id, request.deadline))
 
     def start_timing(self, request: PendingRequest, attempt: Attempt) -> None:
-        """From now on the attempt is timed and counts as load; its body, if any, is written."""
+        """Times the attempt from now on, and counts it as load; its body, if any, is written."""
         attempt.sent_at, attempt.is_load = self.now, True
         self.sent_attempts[request.event.cls % len(self.sent_attempts)].append(attempt)
         self.in_flight_count += 1
@@ -809,7 +867,8 @@
         """Whether the next attempt there uses a kept idle connection; None: there is one in use.
 
         Avoids connections that died unnoticed. Those of all servers are taken together, as one gateway uses
-        each rarely, and compared with new ones, as congestion loses both. Drawback: opening one costs."""
+        each rarely, and compared with new ones, as congestion loses both. Drawback: opening one costs.
+        """
         if server.in_flight or self.now - server.connection_used_at >= self.settings.idle_timeout:
             return None if server.in_flight else False
         new_loss, kept_loss = (
@@ -822,8 +881,11 @@
         return False
 
     def should_shed(self, request: PendingRequest) -> bool:
-        """Whether overload sheds the request, lowest worth first: by time over aim of recent answers and of
-        attempts in flight, at all servers together, mixed with a few calm ones; whatever the cause is."""
+        """Whether overload sheds the request; those of the lowest worth are shed first.
+
+        The load is the mean time over aim of recent answers and of attempts in flight, at all servers
+        together, mixed with a few calm outcomes; whatever its cause is.
+        """
         self.decay()
         age_ratios = self.now * self.in_flight_inverse_aims - self.in_flight_start_ratios
         overdue = self.overdue_load()
@@ -852,7 +914,8 @@
         """How many lost or overdue attempts count as load: only as far as answers are slow too, or missing.
 
         Shedding is no help against what quick servers lose (dead connections, swallowed requests). Drawback:
-        a few congested servers among quick ones are left to the choice of servers."""
+        a few congested servers among quick ones are left to the choice of servers.
+        """
         return self.recent_overdue * min(
             1.0, max(2 * self.mean_aim_ratio / SHED_START - 1, self.loss_share**2)
         )
@@ -1021,7 +1084,7 @@
 
     # --- final answers and guards --------------------------------------------------------------------------
     def close_request(self, request: PendingRequest) -> None:
-        """The request has its final answer, or its client has gone."""
+        """Ends the request, which has its final answer or whose client has gone; refunds it if never sent."""
         request.final, request.undecided = True, False
         if self.settings.allow_cancel:  # no other answer is wanted
             self.actions.extend(interface.Cancel(request.id, attempt) for attempt in request.in_flight)
@@ -1043,7 +1106,9 @@
         self.close_request(request)
 
     def give_up(self, request: PendingRequest) -> None:
-        """No server can take it, or none may: refuses it if a repeat does no harm, else fails it."""
+        """Gives up a request that no server can or may take: refuses it if a repeat does no harm, else fails
+        it.
+        """
         request.shed_share = request.shed_share or 1.0  # the client is told to wait
         if not request.sent and not request.beyond_quota:
             self.refund(request)
--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -35,38 +35,44 @@
 
 
 class Account:
-    """What this gateway knows of one account.
-
-    `total`: of the current window, as last told by the counter; `own_units`: what this gateway added of it;
-    `lost_units`: what the counter has lost of it. `uncounted_units`: units left to the next counter call,
-    below 0 to be taken back. `deficit`: units missing from the token bucket; `deficit_stale`: not followed
-    lately. `assumed_units`: what others are assumed to have used since the last total. `headroom`: units left
-    of this gateway's part of the ceiling. `spread`: gateways, times cores, over which the account is spread.
-    """
+    """What this gateway knows of one account. Quantities are in units, unless said otherwise."""
 
     def __init__(self, request: interface.Request, plan: interface.Plan, now: float, uptime: float) -> None:
+        # spread: over how many gateways, times the workers of each, the account's requests are spread.
         self.id, self.plan, self.workers = request.account, plan, request.account_workers
         self.spread = max(1, request.account_gateways) * request.account_workers
         # A window lasts as long as the burst takes to refill, or as the counter can keep its names.
         self.window_s = min(plan.burst / plan.rate, MAX_NAME_TTL / TTL_WINDOWS) if plan.rate > 0 else 0.0
+        # limit: of one window. beyond_pays: a request beyond the quota earns more than it costs.
         self.limit, self.beyond_pays = (
             min(plan.burst, plan.rate * self.window_s),
             plan.over_worth > plan.over_cost,
         )
-        self.window = int(now // self.window_s) if self.window_s else 0
+        self.window = int(now // self.window_s) if self.window_s else 0  # its number since time 0
+        # total: of the current window, as last told by the counter. own_units: what this gateway added of it.
+        # lost_units: what the counter has lost of it. prev_total: of the last window. uncounted_units: left
+        # to the next counter call; below 0: to be taken back. assumed_units: assumed use of other gateways
+        # since the last total came.
         self.total = self.own_units = self.lost_units = self.prev_total = self.uncounted_units = (
             self.assumed_units
         ) = 0.0
+        # prev_known: an answer told prev_total after that window's end. reading_prev: it is being read.
         self.prev_known = self.reading_prev = False
         self.waiting_requests: list[Any] = []  # requests that wait for the last window's total
+        # deficit: units missing from the token bucket; 0: it is full. deficit_stale: it is not based on
+        # totals, because the account is new or was not seen for a whole window.
         self.deficit, self.deficit_stale = ASSUMED_USE * self.limit, True
-        self.others_rate = ASSUMED_USE * plan.rate * (1 - 1 / self.spread)  # admitted by others, units/s
-        self.decision_count = self.admitted_count = 0.0  # requests decided and admitted by totals; they decay
+        # Use by other gateways, units a second.
+        self.others_rate = ASSUMED_USE * plan.rate * (1 - 1 / self.spread)
+        # Requests that totals decided, and those of them that they admitted; both decay.
+        self.decision_count = self.admitted_count = 0.0
         self.updated_at = self.seen_at = self.uncounted_since = self.counts_decayed_at = now
+        # When the last total came; until when a refusal by a total stands. Minus infinite: none so far.
         self.total_at = self.denied_until = -math.inf
         self.open_attempts = 0
-        # A ceiling is split evenly, so that no gateway needs to know of another. A new process has its part
-        # of the slack, and of what was refilled since its start: the one before it may have spent the rest.
+        # What is left of this gateway's part of the ceiling. A ceiling is split evenly, so that no gateway
+        # needs to know of another. A new process has its part of the slack, and of what was refilled since
+        # its start: the one before it may have spent the rest.
         self.headroom = min(plan.ceiling_burst, plan.ceiling_slack + plan.ceiling_rate * uptime) / self.spread
 
     def likely_prev(self, current: float, remaining: float) -> float:
--- a/starlinggap/slow_start.py
+++ b/starlinggap/slow_start.py
@@ -19,12 +19,12 @@
     def __init__(self, settings: Settings) -> None:
         self.duration, self.initial_share = settings.slow_start_duration, settings.slow_start_share
         self.starts: OrderedDict[int, float] = OrderedDict()  # as last listed, also of servers that are gone
-        self.list_seen = False  # a list came since our start; what we started with may be old
+        self.list_seen = False  # a list has come that is not cached: starts that are new after it are recent
 
     def record(self, entry: ServerEntry, now: float) -> float:
-        """Remembers a listed server's start and returns when it was by our clock (s); 0: long ago.
+        """Remembers a listed server's start and returns when it was by this gateway's clock (s); 0: long ago.
 
-        A start that is announced while we serve has just happened, however long ago it seems by our clock.
+        A start that is announced while the gateway serves has just happened, however long ago its clock says.
         One that lies in the future is taken as now.
         """
         known_start = self.starts.get(entry.server)
