--- a/opalgauge/wire/clients.py
+++ b/opalgauge/wire/clients.py
@@ -178,8 +178,8 @@
             return
         super().data_received(data)
         # Not by what serves it: a first head may come before that has begun to wait for one.
-        nothing_whole = not self._messages and self._current_request is None
-        if data and nothing_whole and self._manager is not None:
+        no_complete_request = not self._messages and self._current_request is None
+        if data and no_complete_request and self._manager is not None:
             self._manager.partial_head_received(self)  # type: ignore[attr-defined]
 
     def _make_error_handler(self, err_info: Any) -> Any:
--- a/opalgauge/wire/upstream.py
+++ b/opalgauge/wire/upstream.py
@@ -80,16 +80,16 @@
         )
         self.parse_stream_start = parse_stream_start  # None: an answer that is too long to be held is a fault
         self.stream: ParsedAnswer | None = None  # the long answer that is being passed on
-        self.sending_body = self.reports_written = (
+        self.sending_body = self.written_event_due = (
             False  # a body is still being written; its end is to be told
         )
         self.parser = self._new_parser()
         self.progress = Progress.CONNECTING
-        self.closed = self.used = self.partial = False
+        self.closed = self.used = self.was_partial = False
         self.pending_answers = 0  # answers to what was sent
         self.last_partial_at = 0.0  # when it was last told that an answer is not whole yet
-        self.incomplete: deque[ParsedAnswer] = deque()  # answers whose last byte has not come
-        self.received = bytearray()  # all bytes of these
+        self.incomplete_answers: deque[ParsedAnswer] = deque()  # answers whose last byte has not come
+        self.incomplete_data = bytearray()  # all bytes of these
 
     def _new_parser(self) -> HttpResponseParser:
         return HttpResponseParser(
@@ -118,8 +118,8 @@
         super().resume_writing()
         if not self.sending_body and self.progress is Progress.WRITING:
             self.progress = Progress.WRITTEN
-            if self.reports_written:
-                self.reports_written = False
+            if self.written_event_due:
+                self.written_event_due = False
                 self.report(AttemptWritten(self.connection_id))
 
     def data_received(self, data: bytes) -> None:
@@ -134,9 +134,9 @@
             self._feed_stream(data)
             return
         received: bytes | bytearray = data
-        if self.received:
-            self.received += data
-            received = self.received
+        if self.incomplete_data:
+            self.incomplete_data += data
+            received = self.incomplete_data
         try:
             messages, upgraded, _ = self.parser.feed_data(data)
         except Exception:  # whatever the other side sent, it ends this connection and nothing else
@@ -155,42 +155,44 @@
                 # Guards against what cannot be said to be whole, and what is far too long.
                 self._report_answers(self._parse_complete_answers(bytes(received)), received, False)
                 return
-            self.incomplete.append((message, payload))
+            self.incomplete_answers.append((message, payload))
         complete = []
-        while self.incomplete and self.incomplete[0][1].is_eof():
-            complete.append(self.incomplete.popleft())
+        while self.incomplete_answers and self.incomplete_answers[0][1].is_eof():
+            complete.append(self.incomplete_answers.popleft())
         if complete:
-            self.received = bytearray()
+            self.incomplete_data = bytearray()
         elif received is data:
-            self.received = bytearray(data)
+            self.incomplete_data = bytearray(data)
         if (
             not complete
-            and self.incomplete
+            and self.incomplete_answers
             and self.parse_stream_start is not None
-            and self._must_stream(*self.incomplete[0])
+            and self._must_stream(*self.incomplete_answers[0])
         ):
-            self._start_stream(*self.incomplete.popleft())
+            self._start_stream(*self.incomplete_answers.popleft())
             return
-        partial = bool(self.incomplete) or not (
+        partial = bool(self.incomplete_answers) or not (
             complete or messages
         )  # a 1xx alone: the answer may take its time
-        self._report_answers(complete, received, len(complete) + len(self.incomplete) <= self.pending_answers)
+        self._report_answers(
+            complete, received, len(complete) + len(self.incomplete_answers) <= self.pending_answers
+        )
         if self.closed:
             return
-        body = self.incomplete[0][1] if self.incomplete else None
+        body = self.incomplete_answers[0][1] if self.incomplete_answers else None
         unbounded = (
-            len(self.received) > self.max_body + MAX_HEAD
+            len(self.incomplete_data) > self.max_body + MAX_HEAD
             or body is not None
             and body.total_bytes > self.max_body
         )
         if unbounded or body is not None and body.exception() is not None:
             self._fail()  # guards against an answer without end, and chunks that cannot be read
         elif partial and (
-            not self.partial or self._loop.time() - self.last_partial_at > PARTIAL_REPORT_INTERVAL
+            not self.was_partial or self._loop.time() - self.last_partial_at > PARTIAL_REPORT_INTERVAL
         ):
             self.last_partial_at = self._loop.time()
             self.report(AnswerPartReceived(self.connection_id))
-        self.partial = partial
+        self.was_partial = partial
 
     def _must_stream(self, message: RawResponseMessage, body: StreamReader) -> bool:
         """Whether an answer is to be passed on as it comes: it has begun to, and is too long to be held."""
@@ -209,7 +211,7 @@
             self.pending_answers -= 1
             self.report(self.parse_reply(self.connection_id, Reply(message.code, message, b"", False)))
             return
-        self.stream, self.received = (message, body), bytearray()
+        self.stream, self.incomplete_data = (message, body), bytearray()
         length = message.headers.get("Content-Length")
         declared_length = None if message.chunked or length is None else int(length)
         self.report(
@@ -239,7 +241,7 @@
 
     def _finish_at_eof(self) -> None:
         """The other side has ended the connection: that may be how it ends its answer."""
-        answer = self.stream or (self.incomplete[0] if self.incomplete else None)
+        answer = self.stream or (self.incomplete_answers[0] if self.incomplete_answers else None)
         if self.closed or answer is None:
             return
         with contextlib.suppress(Exception):
@@ -248,7 +250,7 @@
             if self.stream is not None:
                 self._finish_stream(False)
             else:
-                self.incomplete.popleft()
+                self.incomplete_answers.popleft()
                 self._report_answers([answer], b"", False)
 
     def _report_answers(
@@ -261,7 +263,7 @@
             body = payload.read_nowait(-1)
             if not (
                 self.pending_answers
-                or self.incomplete
+                or self.incomplete_answers
                 or received.endswith(body if body and not message.chunked else TERMINATOR)
             ):
                 well_formed = (
@@ -332,7 +334,7 @@
             and self.parse_stream_start is not None
             and not self.sending_body
         ):
-            self.reports_written = True
+            self.written_event_due = True
             self.report(AttemptWriteBlocked(self.connection_id))
 
     async def send_body_part(self, data: bytes) -> None:
@@ -347,7 +349,7 @@
         if self.closed or self.progress is Progress.ANSWERING:
             return
         if self._paused:
-            self.reports_written = True
+            self.written_event_due = True
         else:
             self.progress = Progress.WRITTEN
             self.report(AttemptWritten(self.connection_id))
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -110,7 +110,7 @@
                 (protocol,) = [
                     li for li in running.runtime.connections.values() if li.parse_stream_start is not None
                 ]
-                await wait_until(lambda: protocol.received)
+                await wait_until(lambda: protocol.incomplete_data)
             connection.reset()
             if idempotency == "safe":
                 _, again = await first_connection(running)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -304,7 +304,7 @@
             client.send(check_request("one"))
             connection = await running.servers[0].next_connection()
             await connection.read_request()
-            opened = [line.transport for line in running.runtime.connections.values()]
+            opened = [connection.transport for connection in running.runtime.connections.values()]
             accepted = [connection.transport for connection in running.clients.client_ids]
             assert len(opened) >= 2 and len(accepted) == 1
             for transport in (*opened, *accepted):
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -36,7 +36,7 @@
 
 
 async def wait_for_drips(protocol: UpstreamConnection, count: int) -> None:
-    await wait_until(lambda: protocol.closed or protocol.received.endswith(b" " * count))
+    await wait_until(lambda: protocol.closed or protocol.incomplete_data.endswith(b" " * count))
 
 
 async def wait_until_closed(running: Scene, connection_id: int) -> None:
@@ -77,9 +77,13 @@
             heard = len(ANSWER_BEGINNINGS[beginning])
             list_connection.send(ANSWER_BEGINNINGS[beginning])
             if heard:
-                line = running.runtime.connections[running.state.list_connection_id]
+                upstream = running.runtime.connections[running.state.list_connection_id]
                 await wait_until(
-                    lambda: len(line.received) >= heard or line.partial or beginning == "only 1xx"
+                    lambda: (
+                        len(upstream.incomplete_data) >= heard
+                        or upstream.was_partial
+                        or beginning == "only 1xx"
+                    )
                 )
             running.pass_time(timedelta(seconds=wait) + 500 * MS)
             running.pass_time(150 * MS)
@@ -98,14 +102,14 @@
         async with scene() as running:
             list_connection, _ = await next_list_request(running)
             list_connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-            line = running.runtime.connections[running.state.list_connection_id]
+            upstream = running.runtime.connections[running.state.list_connection_id]
             for n in range(1, 30):
-                if running.state.list_connection_id != line.connection_id or line.closed:
+                if running.state.list_connection_id != upstream.connection_id or upstream.closed:
                     break
                 list_connection.send(b" ")
-                await wait_for_drips(line, n)
+                await wait_for_drips(upstream, n)
                 running.pass_time(60 * MS)
-            assert line.closed and n < 25
+            assert upstream.closed and n < 25
             await next_list_request(running)
 
     run_scene(scenario)
@@ -150,8 +154,8 @@
             list_connection.send(
                 b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body)
             )
-            line = running.state.connections[running.state.list_connection_id]
-            await wait_until(lambda: line.since is None)
+            upstream = running.state.connections[running.state.list_connection_id]
+            await wait_until(lambda: upstream.since is None)
             assert len(running.server_list.all_connections) == 1
             running.pass_time(150 * MS)
             assert await read_list_request(
@@ -267,8 +271,8 @@
             if state == "half a list":
                 body = json.dumps({"seq": 8, "whole": True, "hosts": [running.list_entry(0)]}).encode()
                 list_connection.send(ok_response(body)[:-5])
-                line = running.runtime.connections[running.state.list_connection_id]
-                await wait_until(lambda: line.received)
+                upstream = running.runtime.connections[running.state.list_connection_id]
+                await wait_until(lambda: upstream.incomplete_data)
             elif state == "down":
                 assert running.server_list.server is not None
                 running.server_list.server.close()
