--- a/opalgauge/handover/__init__.py
+++ b/opalgauge/handover/__init__.py
@@ -1,1 +1,1 @@
-"""An old and a new process at one address, as one ingress."""
+"""Handover from an old process of an ingress to a new one that listens on the same address."""
--- a/opalgauge/handover/link.py
+++ b/opalgauge/handover/link.py
@@ -1,8 +1,8 @@
-"""The link between an old and a new process at one address: a Unix socket in the folder that they share.
+"""The link between an old and a new process of an ingress: a Unix socket in the folder that they share.
 
-The new one calls, is handed what the old one knows, and stays connected: by that each knows that the other
-lives. Over it each then tells the other what both have to know (`messages`). Whoever is alone listens.
-Nothing of it is needed to serve: what fails is told in the log and left.
+The new process connects, receives the old one's snapshot and stays connected, so that each knows whether the
+other lives. Both then send each other messages (`messages`). A process that is alone listens for the next
+one. Serving does not depend on the link: its failures are logged and otherwise ignored.
 """
 
 from __future__ import annotations
@@ -26,13 +26,17 @@
 )
 
 SOCKET_NAME = "opalgauge.kin"
-HANDOVER_TIMEOUT = timedelta(milliseconds=500)  # a start waits no longer for what the old process knows
+HANDOVER_TIMEOUT = timedelta(milliseconds=500)  # a new process waits no longer for the snapshot
 MAX_CALLERS = 4
-MAX_UNSENT_BYTES = 1 << 20  # bytes for a process that does not read: it is told no more
+MAX_UNSENT_BYTES = 1 << 20  # a process with more unread bytes is sent no further messages
 
 
 class HandoverLink:
-    """One process's end of the link."""
+    """One process's end of the link.
+
+    `folder` is shared by the processes of the ingress. `export_snapshot` returns what a new process is handed
+    over, `read_clocks` the clocks of this process. Events are kept until `attach` says where to report them.
+    """
 
     def __init__(
         self,
@@ -45,18 +49,18 @@
         self.identity = identity
         self.path = Path(folder) / SOCKET_NAME
         self.export_snapshot, self.read_clocks, self.log = export_snapshot, read_clocks, log
-        self.early_events: list[Event] = []  # what has happened before anybody could hear of it
+        self.early_events: list[Event] = []  # reported before `attach`
         self.report: Callable[[Event], None] = self.early_events.append
-        self.clock_offset = timedelta(0)  # the old process's clock less ours, once it has handed over
+        self.clock_offset = timedelta(0)  # the old process's clock minus ours, after a handover
         self.server: asyncio.Server | None = None
         self.callers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.predecessor: asyncio.StreamWriter | None = None
-        self.serving = False  # this process
-        self.serving_processes: set[asyncio.StreamWriter] = set()  # those at the other ends that have said so
+        self.serving = False  # whether this process accepts clients
+        self.serving_processes: set[asyncio.StreamWriter] = set()  # connections to processes that do so
 
     async def start(self) -> None:
-        """Hears what an old process knows, if there is one; listens where there is none."""
+        """Receives the snapshot of an old process if there is one; otherwise listens for a new one."""
         received = None
         try:
             async with asyncio.timeout(HANDOVER_TIMEOUT.total_seconds()):
@@ -72,7 +76,7 @@
                 received = await self._receive_snapshot(head, reader)
         except OSError:
             if self.predecessor is None:
-                await self._listen()  # nobody is there, or one that died
+                await self._listen()  # no old process, or only the socket of a dead one
                 return
         except (TimeoutError, ValueError, asyncio.IncompleteReadError):
             pass
@@ -86,21 +90,22 @@
         self._start_task(self._follow_predecessor(reader))
 
     def attach(self, report: Callable[[Event], None]) -> None:
-        """Reports what has happened so far, and from now on all that does."""
+        """Reports the events so far to `report`, and all later ones."""
         early_events, self.early_events, self.report = self.early_events, [], report
         for event in early_events:
             report(event)
 
     def send_serving(self, serving: bool) -> None:
-        """Whether this process accepts clients, and goes on doing so."""
+        """Tells the other process whether this one accepts clients and goes on doing so."""
         self.serving = serving
         self._send(messages.Serving(serving))
 
     def send_bans(self, bans: tuple[BanStatus, ...]) -> None:
+        """Tells the other process the bans that this one knows of."""
         self._send(messages.Bans(bans))
 
     def _send(self, message: messages.Message) -> None:
-        """Tells the other process, if there is one that reads."""
+        """Sends a message to the other process, if there is one that reads."""
         line = messages.encode(message)
         if len(line) > messages.MAX_MESSAGE_BYTES:
             return
@@ -110,12 +115,15 @@
 
     @staticmethod
     def _write(writer: asyncio.StreamWriter, line: bytes) -> None:
-        """Guards against a process that has ended, where writing would raise, and one that does not read."""
+        """Writes unless the process has ended, in which case writing may raise, or does not read."""
         if not writer.is_closing() and writer.transport.get_write_buffer_size() < MAX_UNSENT_BYTES:
             writer.write(line)
 
     def _leave_other_ingress(self) -> None:
-        """Another ingress has this folder, too. Its place there is left to it, and its part of the limits."""
+        """Disconnects from a process of another ingress, which keeps its socket in this folder.
+
+        It does not count as a process of this ingress, with which the limits would be shared.
+        """
         assert self.predecessor is not None
         self.predecessor.close()
         self.predecessor = None
@@ -123,6 +131,7 @@
         self.log("handover: a process of another ingress is at this folder; nothing of it is used")
 
     def close(self) -> None:
+        """Closes all connections and stops listening."""
         for task in self.tasks:
             task.cancel()
         if self.server is not None:
@@ -163,7 +172,7 @@
             self.report(OtherProcessAccepting(not was_serving))
 
     async def _receive_messages(self, reader: asyncio.StreamReader, other: asyncio.StreamWriter) -> None:
-        """Hears what the other process tells, until it ends."""
+        """Reports the messages of the other process until it disconnects."""
         while line := await reader.readline():
             match messages.decode(line):
                 case messages.Serving(serving):
@@ -174,7 +183,7 @@
     async def _listen(self) -> None:
         try:
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(self.path)  # a dead process's
+                os.unlink(self.path)  # left by a dead process
             self.server = await asyncio.start_unix_server(
                 self._on_caller, str(self.path), limit=messages.MAX_MESSAGE_BYTES
             )
@@ -199,7 +208,7 @@
                 self._write(writer, messages.encode(messages.Serving(True)))
             await self._receive_messages(reader, writer)
         except (OSError, TimeoutError, ValueError):
-            pass  # it has gone, or says nothing
+            pass  # the caller has disconnected, is silent or sends too long a line
         finally:
             self._set_other_serving(writer, False)
             self.callers.discard(writer)
--- a/opalgauge/handover/messages.py
+++ b/opalgauge/handover/messages.py
@@ -1,6 +1,6 @@
-"""What two processes of one ingress tell each other while both live: a line of JSON each. No I/O, no clock.
+"""The messages between two processes of one ingress: one line of JSON each. No I/O, no clock.
 
-A line that is not understood is passed over: the other process may be of another version.
+An unknown message is ignored, as the other process may run another version.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from opalgauge.memory.bans import InvalidBans, bans_from_plain, bans_to_plain
 from opalgauge.memory.events import BanStatus
 
-MAX_MESSAGE_BYTES = 1 << 20  # bytes of a line; what is longer is not told
+MAX_MESSAGE_BYTES = 1 << 20  # a longer message is not sent
 
 
 @dataclass(frozen=True, slots=True)
 class Serving:
-    """Whether the sender accepts clients and goes on doing so: from when it is ready until it is to stop."""
+    """Whether the sender accepts clients: from when it is ready until it is asked to stop."""
 
     serving: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Bans:
-    """What staff have said of servers, as the sender knows it."""
+    """The bans of servers that the sender knows of."""
 
     bans: tuple[BanStatus, ...]
 
@@ -32,6 +32,7 @@
 
 
 def encode(message: Message) -> bytes:
+    """Encodes a message as a line."""
     match message:
         case Serving(serving):
             content: dict[str, object] = {"serving": serving}
@@ -41,6 +42,7 @@
 
 
 def decode(line: bytes) -> Message | None:
+    """Decodes a line; None if it cannot be read or its message is unknown."""
     try:
         content = json.loads(line)
         if not isinstance(content, dict):
--- a/opalgauge/handover/record.py
+++ b/opalgauge/handover/record.py
@@ -1,4 +1,4 @@
-"""What an old process hands to a new one, as bytes: a line that says what follows, then JSON.
+"""The handover record, by which an old process passes its state to a new one: a head line, then JSON.
 
 No I/O, no clock.
 """
@@ -12,26 +12,27 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-TITLE = "opalgauge-memory-1"  # the number changes with the meaning of what follows
-OTHER_INGRESS = b"stranger\n"  # an answer: the caller is a process of another ingress
-NO_SNAPSHOT = b"unknown\n"  # an answer: one of this ingress, but nothing of the record would hold for it
+TITLE = "opalgauge-memory-1"  # the number changes with the format of the record
+OTHER_INGRESS = b"stranger\n"  # answer to a process of another ingress
+NO_SNAPSHOT = b"unknown\n"  # answer to a process of this ingress to which the record does not apply
 MAX_BODY = 16 * 1024 * 1024  # bytes
 MAX_HEAD = 256  # bytes
 MAX_AGE = timedelta(seconds=5)
 EPOCH = datetime.fromtimestamp(0, UTC)
 MICROSECOND = timedelta(microseconds=1)
-CLOCK_KEY = "clock"  # in the record: when it was written, by the old process's clock and by the monotonic one
+CLOCK_KEY = "clock"  # key of the times at which the record was written, by wall clock and monotonic clock
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Whose process it is, and by which settings it works; both as digests."""
+    """Digests of the ingress that a process belongs to and of its settings."""
 
     ingress: str = "-"
     settings: str = "-"
 
     @classmethod
     def of(cls, name: str, settings: Any) -> Identity:
+        """The identity of a process by the name and the settings of its ingress."""
         return cls(_digest(name), _digest(json.dumps(settings, sort_keys=True)))
 
 
@@ -43,13 +44,13 @@
 
 
 def encode_hello(identity: Identity) -> bytes:
-    """A caller's first line."""
+    """Encodes the first line of a caller."""
     return f"{TITLE} {identity.ingress} {identity.settings}\n".encode()
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """One instant by a process's own clock and by the machine's monotonic one."""
+    """One instant, as told by a process's wall clock and by the machine's monotonic clock."""
 
     wall_clock: datetime
     monotonic: timedelta
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedSnapshot:
-    """What an old process knows; `clock_offset`: its clock less ours, zero where it does not tell."""
+    """A snapshot from an old process. `clock_offset` is its wall clock minus ours, zero if unknown."""
 
     snapshot: Any
     clock_offset: timedelta
@@ -66,10 +67,10 @@
 def answer_hello(
     hello: bytes, identity: Identity, export_snapshot: Callable[[], Any], clocks: ClockReading
 ) -> bytes:
-    """What a process answers to a caller's first line.
+    """Returns the answer to a caller's first line.
 
-    Guards an ingress against what was learned under another customer's settings, or by another ingress that
-    was given the same folder. One of another version may be of this ingress: it is told nothing.
+    A process with other settings, or of another ingress that shares the folder, must not use the snapshot. A
+    process of another version may belong to this ingress, but cannot be handed the record.
     """
     title, *digests = hello.decode("ascii", "replace").removesuffix("\n").split(" ")
     if title != TITLE or len(digests) != 2:
@@ -80,13 +81,14 @@
 
 
 def encode(snapshot: dict[str, Any], clocks: ClockReading) -> bytes:
+    """Encodes the record of a snapshot, written at the given time."""
     wall_clock, monotonic = (clocks.wall_clock - EPOCH) // MICROSECOND, clocks.monotonic // MICROSECOND
     body = json.dumps({**snapshot, CLOCK_KEY: [wall_clock, monotonic]}, separators=(",", ":")).encode()
     return f"{TITLE} {len(body)} {wall_clock} {hashlib.sha256(body).hexdigest()}\n".encode() + body
 
 
 def body_length(head: bytes) -> int | None:
-    """The bytes that follow a record's first line; None where it is none of ours."""
+    """The number of bytes after the head line of a record; None if it is no head line of this version."""
     try:
         title, size, _, __ = head.decode("ascii").split()
         return int(size) if title == TITLE and 0 <= int(size) <= MAX_BODY else None
@@ -95,7 +97,7 @@
 
 
 def decode(data: bytes, clocks: ClockReading) -> ReceivedSnapshot | None:
-    """What was written; None where it is torn, too old or of another version."""
+    """Decodes a record; None if it is damaged, too old or of another version."""
     head, _, body = data.partition(b"\n")
     if body_length(head) != len(body):
         return None
@@ -106,7 +108,7 @@
         snapshot = json.loads(body)
         clock = snapshot.pop(CLOCK_KEY, None) if isinstance(snapshot, dict) else None
         if clock is not None:
-            # The wall clock may have been stepped between the two starts: the age is a span of real time.
+            # The wall clock may have been stepped since: the age is measured by the monotonic clock.
             written_at = ClockReading(EPOCH + MICROSECOND * int(clock[0]), MICROSECOND * int(clock[1]))
             age = clocks.monotonic - written_at.monotonic
             return (
--- a/opalgauge/wire/__init__.py
+++ b/opalgauge/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on sockets: clients, stock nodes, the node list and the quota counter."""
+"""Network I/O: clients, servers, server discovery, the quota counter and the peers of the fleet."""
--- a/opalgauge/wire/clients.py
+++ b/opalgauge/wire/clients.py
@@ -1,4 +1,4 @@
-"""Clients: their requests become orders, and each order's one answer goes back."""
+"""The client side: reads clients' requests, reports them to the reducer and writes one answer to each."""
 
 from __future__ import annotations
 
@@ -33,35 +33,34 @@
 from opalgauge.wire.socket_state import is_closed_by_peer, peek_byte
 from opalgauge.wire.upstream import MAX_BODY, MAX_BUFFERED_BODY
 
-BACKLOG = 512  # connections that wait to be accepted
-BODY_STALL_TIMEOUT = 2.2  # s: a client that sends nothing of its body for so long has stopped
-MIN_BODY_RATE = 4096  # bytes a second, over all of a body: a client that sends less holds a place for nothing
-CLIENT_READ_TIMEOUT = 10.0  # s: a client that reads nothing of a long answer for so long has stopped
-SERVER_STALL_TIMEOUT = 5.0  # s: a stock node that gives, or takes, nothing of a long body for so long has
+BACKLOG = 512  # length of the listening socket's accept queue
+BODY_STALL_TIMEOUT = 2.2  # s without a byte after which a client has stopped sending its body
+MIN_BODY_RATE = 4096  # bytes/s, averaged over a body: a slower client would hold a connection for nothing
+CLIENT_READ_TIMEOUT = 10.0  # s without progress after which a client has stopped reading a streamed answer
+SERVER_STALL_TIMEOUT = 5.0  # s without progress after which a server has stopped sending or reading a body
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-ACCOUNT_LIMIT = 2**33
-CLOSE_POLL_INTERVAL = 0.01  # s between looks at what is still owed when all leave
-LINGER_TIME = 0.5  # s: so long a client's bytes are read behind its last answer, and
-MAX_LINGER_BYTES = 256 * 1024  # bytes: so many of them
-FINAL_WRITE_TIMEOUT = 0.5  # s: for answers that their clients are slow to take, when all leave
-DISCONNECT_POLL_INTERVAL = (
-    0.04  # s between looks whether the client of a body that is not read on is still there
-)
+ACCOUNT_LIMIT = 2**33  # accounts are numbered below this
+CLOSE_POLL_INTERVAL = 0.01  # s between checks of what is left to finish in `Clients.close`
+LINGER_TIME = 0.5  # s for which a client's bytes are read and dropped after its last answer
+MAX_LINGER_BYTES = 256 * 1024  # bytes that are read and dropped in that time
+FINAL_WRITE_TIMEOUT = 0.5  # s for clients that are slow to read their answers in `Clients.close`
+# s between checks for a disconnect on connections whose reading is paused
+DISCONNECT_POLL_INTERVAL = 0.04
 ZERO = timedelta(0)
-MAX_WAIT = 3600.0  # s: nobody waits longer for an answer
-# What says how a body is to be read goes with it, and so does the key by which stock nodes know a repeat.
+MAX_WAIT = 3600.0  # s: the longest time left that a client may state
+# Forwarded with the body: how it is encoded, and the key by which servers recognise a repeated request.
 FORWARDED_HEADERS = ("Content-Type", "Content-Encoding", "Idempotency-Key")
 DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
 CORRELATION_ID_PATTERN = re.compile(r"[!-~]{1,128}")  # visible ASCII
 ACCOUNT_PATTERN = re.compile(r"(?:^|;)\s*customer=([0-9a-fA-F]{1,16})\s*(?:;|$)")
 
-# Whatever a client sends, aiohttp answers it; its words on that would fill the log.
+# aiohttp logs every malformed request that it answers, and clients could fill the log with them.
 MUTED_LOGGER = logging.getLogger("opalgauge.clients")
 MUTED_LOGGER.setLevel(logging.CRITICAL)
 
 
 class MalformedRequest(Exception):
-    """A request that cannot be an order; it is answered with `status`."""
+    """A request that cannot be accepted; it is answered with the HTTP status `status`."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -69,20 +68,22 @@
 
 
 class BodyReadCancelled(Exception):
-    """The process ends before the rest of a body can come."""
+    """Set on a body that is no longer read, as the process ends before the rest of it can arrive."""
 
 
 class PendingRequest(NamedTuple):
-    """A client that waits for the answer to its order, and the answer's body where that comes at length."""
+    """A request that waits for its answer; the future also holds the body's stream if it is streamed."""
 
     answer: asyncio.Future[tuple[AnswerClient, StreamReader | None]]
     connection: RequestHandler
 
 
 class RequestCatalog:
-    """The deployment's own names for kinds of request and tariffs, in the order of its settings.
+    """What a request may name: the deployment's request classes and plans, and the limits of its terms.
 
-    And what an order's terms can be: units up to `max_units`, a set among `ingress_count`.
+    Classes and plans are numbered in the order of the settings. `classes` maps a class's name to its number
+    and its HTTP method, `plans` a plan's name to its number. A request costs at most `max_units`, and an
+    account is shared by some of `ingress_count` ingresses.
     """
 
     def __init__(
@@ -96,17 +97,20 @@
 
 
 def parse_decimal(text: str) -> float:
-    """A plain decimal; `float` alone would also take `nan`, `1_0` and digits of other scripts."""
+    """Parses a plain decimal number; raises ValueError for anything else.
+
+    `float` alone would also accept `nan`, `1_0` and digits of other scripts.
+    """
     if not DECIMAL_PATTERN.fullmatch(text):
         raise ValueError("not a plain number")
     return float(text)
 
 
 def parse_terms(text: str, catalog: RequestCatalog) -> tuple[float, int, int]:
-    """Units, and the ingresses of the account.
+    """Parses X-Call-Terms: the units, the number of ingresses that share the account, and the first of them.
 
-    Guards an account's quota, and its part of the ceiling at this ingress, against terms that are impossible,
-    in whoever's name they come.
+    Raises ValueError for terms that are unreadable or impossible. They would distort the account's quota and
+    its share of the ceiling at this ingress, and any client can send them.
     """
     fields = dict(part.split("=", 1) for part in text.replace(" ", "").split(",") if "=" in part)
     units = parse_decimal(fields.get("units", ""))
@@ -124,27 +128,30 @@
 def parse_request(
     request: web.BaseRequest, request_id: int, client_id: int, body: bytes, catalog: RequestCatalog
 ) -> RequestReceived:
-    """What the request's line and headers say; raises MalformedRequest where they say nothing usable."""
+    """Builds the event for a request from its request line and headers.
+
+    Raises MalformedRequest if its class is unknown, or a header is missing or out of range.
+    """
     target, headers = request.raw_path, request.headers
     request_class = (
         catalog.classes.get(target[1:].split("?", 1)[0].split("/", 1)[0]) if target[:1] == "/" else None
     )
     if request_class is None:
-        raise MalformedRequest(404, "no such kind of request")
+        raise MalformedRequest(404, "unknown request class")
     if request.method != request_class[1]:
-        raise MalformedRequest(400, "not this kind's method")
+        raise MalformedRequest(400, "method does not match the request class")
     if request_class[1] == "GET" and body:
-        raise MalformedRequest(400, "a body where there is none")
+        raise MalformedRequest(400, "GET request with a body")
     correlation_id = headers.get("X-Correlation-Id", "")
     cookie = ACCOUNT_PATTERN.search(headers.get("Cookie", ""))
     plan = catalog.plans.get(headers.get("X-Tier", ""))
     if not CORRELATION_ID_PATTERN.fullmatch(correlation_id) or cookie is None or plan is None:
-        raise MalformedRequest(400, "id, account or tariff missing")
+        raise MalformedRequest(400, "correlation id, account or plan missing or malformed")
     try:
         time_left = parse_decimal(headers.get("X-Time-Left", ""))
         units, account_gateways, first_gateway = parse_terms(headers.get("X-Call-Terms", ""), catalog)
     except ValueError:
-        raise MalformedRequest(400, "time left or terms unreadable") from None
+        raise MalformedRequest(400, "malformed time left or terms") from None
     account = int(cookie[1], 16)
     if not 0 < time_left <= MAX_WAIT or account >= ACCOUNT_LIMIT:
         raise MalformedRequest(400, "time left or account out of range")
@@ -157,10 +164,9 @@
 
 
 class ClientConnection(RequestHandler):
-    """aiohttp's connection handler, which also tells when a request has begun and is not whole.
+    """aiohttp's connection handler, which also reports partial request heads and closes with a linger.
 
-    And it closes behind a last answer as it should be: `answer_and_linger`. From then on the connection is
-    `lingering`: nothing that comes over it is read as a request.
+    `lingering` is set by `answer_and_linger`: from then on, what arrives is dropped and not parsed.
     """
 
     __slots__ = ("lingering", "dropped_bytes", "accept_delay")
@@ -168,16 +174,18 @@
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
         self.lingering, self.dropped_bytes = False, 0
-        self.accept_delay = 0.0  # s that its first request lay unread before the connection was accepted
+        # s for which the first request waited in the kernel before the connection was accepted
+        self.accept_delay = 0.0
 
     def data_received(self, data: bytes) -> None:
+        """Parses received bytes and reports a request that has begun and is not complete."""
         if self.lingering:
             self.dropped_bytes += len(data)
             if self.dropped_bytes > MAX_LINGER_BYTES and self.transport is not None:
-                self.transport.pause_reading()  # guards the processor against a client that floods
+                self.transport.pause_reading()  # a flooding client would use up CPU
             return
         super().data_received(data)
-        # Not by what serves it: a first head may come before that has begun to wait for one.
+        # `_waiter` cannot be used here: the first head may arrive before the handler task waits for one.
         no_complete_request = not self._messages and self._current_request is None
         if data and no_complete_request and self._manager is not None:
             self._manager.partial_head_received(self)  # type: ignore[attr-defined]
@@ -193,11 +201,11 @@
         return handler
 
     async def answer_and_linger(self, request: web.BaseRequest, response: web.StreamResponse) -> None:
-        """A lingering close: writes a last answer, ends our side, and drops what its client still sends, up
-        to the client's end or a limit.
+        """Writes the last answer of a connection and closes it with a linger.
 
-        Guards the answer against the reset that a close over unread bytes sends: it destroys what is on its
-        way. aiohttp's own lingering does not end our side, and stops at the end of the request's body.
+        Shuts down the sending side, then drops what the client still sends, until it closes or a limit is
+        reached. Closing a socket with unread bytes sends a reset, which can destroy the answer on its way.
+        aiohttp's own lingering does not shut down the sending side, and stops at the end of the request body.
         """
         await response.prepare(request)
         await response.write_eof()
@@ -209,12 +217,12 @@
             transport.write_eof()
             self._reading_paused = self._buffer_paused = False
             transport.resume_reading()
-        # Ended by the client's end, too: whoever serves it is cancelled then.
+        # If the client closes earlier, aiohttp cancels this handler task.
         await asyncio.sleep(LINGER_TIME)
 
 
 class ClientServer(web.Server):
-    """aiohttp's low-level server, which also tells when connections come and go."""
+    """aiohttp's low-level server, which also reports when connections open and close."""
 
     def __init__(
         self,
@@ -227,23 +235,31 @@
         self.on_partial_head: Callable[[RequestHandler], None] | None = None
 
     def __call__(self) -> RequestHandler:
+        """Creates the protocol of a new connection."""
         return ClientConnection(self, loop=self._loop, **self._kwargs)
 
     def partial_head_received(self, handler: RequestHandler) -> None:
+        """Called by a connection on which a request has begun and is not complete."""
         if self.on_partial_head is not None:
             self.on_partial_head(handler)
 
     def connection_made(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
+        """Called by aiohttp for each connection that opens."""
         super().connection_made(handler, transport)
         self.on_connected(handler)
 
     def connection_lost(self, handler: RequestHandler, exc: BaseException | None = None) -> None:
+        """Called by aiohttp for each connection that has closed."""
         super().connection_lost(handler, exc)
         self.on_disconnected(handler)
 
 
 class Clients:
-    """The sockets that clients reach, on aiohttp's low-level server."""
+    """The clients' connections, served by aiohttp's low-level server.
+
+    Everything that happens on them goes to `report`; the reducer's effects call the other methods. Clients
+    and requests are numbered from 1 on. `is_ready` decides the answer to `/ready`.
+    """
 
     def __init__(
         self,
@@ -253,21 +269,19 @@
         server_class: type[ClientServer] = ClientServer,
     ) -> None:
         self.catalog, self.report, self.is_ready = catalog, report, is_ready
-        self.on_request_over: Callable[[int], None] | None = None  # told of each order that waits no more
-        self.pending: dict[int, PendingRequest] = {}  # by order
+        self.on_request_over: Callable[[int], None] | None = None  # called when a request no longer waits
+        self.pending: dict[int, PendingRequest] = {}  # by request id
         self.connections: dict[int, RequestHandler] = {}
         self.client_ids: dict[RequestHandler, int] = {}
-        self.incomplete_bodies: dict[RequestHandler, StreamReader] = {}  # bodies whose last byte has not come
-        self.streamed_bodies: dict[
-            int, StreamReader
-        ] = {}  # by order: what comes behind the beginning of its body
-        self.stream_bodies = (
-            True  # bodies over `MAX_BUFFERED_BODY` are passed on; not where orders pass between cores
-        )
+        self.incomplete_bodies: dict[RequestHandler, StreamReader] = {}  # bodies that are being read
+        # By request id: the rest of a body of which the start was reported with the request.
+        self.streamed_bodies: dict[int, StreamReader] = {}
+        # Whether bodies over MAX_BUFFERED_BODY are streamed. Workers that delegate requests cannot do so.
+        self.stream_bodies = True
         self.busy_connections: set[RequestHandler] = set()
         self.last_request_id = self.last_client_id = 0
         self.draining = False
-        self.shared_socket = False  # another process may listen at the same socket
+        self.shared_socket = False  # another process may listen on the same socket
         self.listener: Listener | None = None
         loop = self.loop = asyncio.get_running_loop()
 
@@ -284,17 +298,20 @@
             on_disconnected=self._on_disconnected,
             handler=self._handle,
             request_factory=make_request,
-            handler_cancellation=True,  # a client that leaves is noticed
+            handler_cancellation=True,  # a disconnect cancels the handler
             access_log=None,
-            auto_decompress=False,  # a body passes as it came
+            auto_decompress=False,  # bodies are forwarded as they were sent
             logger=MUTED_LOGGER,
-            keepalive_timeout=MAX_WAIT,  # the reducer says which connections are to be closed
-            lingering_time=0,  # guards against reading on for 10 s where a body is too long to be taken
+            keepalive_timeout=MAX_WAIT,  # the reducer decides which connections are closed
+            lingering_time=0,  # aiohttp would read on for 10 s if a body is too long
         )
         self.server.on_partial_head = self._on_partial_head
 
     async def listen(self, host: str, port: int, inherited: int | None = None) -> None:
-        """Listens at an address, or on the listening socket that this process was started with."""
+        """Listens on an address, or on the listening socket that this process was started with.
+
+        Raises OSError if the address cannot be bound.
+        """
         self.shared_socket = inherited is not None
         listen_socket = bind(host, port) if inherited is None else socket.socket(fileno=inherited)
         self.listener = Listener(listen_socket, BACKLOG, self._make_connection, inherited is not None)
@@ -306,19 +323,21 @@
         return connection
 
     def stop_accepting(self) -> None:
-        """No more connections for now. What waits in the kernel's queue stays there for whoever else listens
-        at the same socket."""
+        """Suspends accepting. Waiting connections stay in the kernel's queue, for any other process that
+        listens on the same socket."""
         if self.listener is not None:
             self.listener.suspend()
 
     def resume_accepting(self) -> None:
+        """Accepts again after `stop_accepting`."""
         if self.listener is not None:
             self.listener.resume()
 
     def stop_listening(self) -> None:
-        """No more connections. Those that wait in the kernel's queue are taken in first.
+        """Closes the listening socket, after accepting the connections that wait in the kernel's queue.
 
-        Guards them against the reset that the queue's end sends: their requests may have been written.
+        Closing the socket would reset them, and their requests may have been written already. On a shared
+        socket they are left to the other process.
         """
         if self.listener is not None and not self.shared_socket:
             self.listener.close_when_empty()
@@ -326,13 +345,15 @@
             self.listener.close()
 
     def _is_accepting(self) -> bool:
-        """Whether a connection that came before listening stopped has not been seen yet."""
+        """Whether a connection is still being accepted after listening has stopped."""
         return self.listener is not None and self.listener.has_pending
 
     async def close(self, timeout: float = math.inf) -> None:
-        """Ends what is left, in so many seconds at most. Guards requests that had been read and were no
-        order yet, or came in meanwhile, when nothing seemed to be owed any more, and answers that their
-        clients have yet to take."""
+        """Closes all connections, within `timeout` seconds.
+
+        Waits for requests that had been read but not reported when the reducer saw nothing left to do, for
+        those that arrived since, and for answers that their clients have yet to read.
+        """
         deadline = self.loop.time() + timeout
         while (self.pending or self._is_accepting()) and self.loop.time() < deadline:
             await asyncio.sleep(CLOSE_POLL_INTERVAL)
@@ -347,7 +368,7 @@
         await self.server.shutdown(timeout=0.1)
 
     def _is_unfinished(self, connection: RequestHandler) -> bool:
-        """Whether a last answer is still on its way, or a request is being read or waits to be."""
+        """Whether an answer is still being written, or a request is being processed or waits to be read."""
         transport = connection.transport
         if transport is None:
             return False
@@ -357,8 +378,11 @@
         return bool(peek_byte(transport))
 
     def _is_idle(self, connection: RequestHandler) -> bool:
-        """Whether it has asked nothing, or not all of it: else an order is on its way, and a close would
-        lose it, also in the turn of the loop in which its request has been read and nobody knows yet."""
+        """Whether the connection has no complete request: none has begun, or one is still arriving.
+
+        It is not idle in the loop iteration in which a request has been read and not yet passed to `_handle`:
+        closing the connection then would lose the request.
+        """
         waiter, body = connection._waiter, self.incomplete_bodies.get(connection)
         no_request = connection._request_count == 0 and not connection._messages
         waits_for_request = waiter is not None and not waiter.done()
@@ -375,7 +399,7 @@
             self.report(RequestHeadStarted(client_id))
 
     def streamed_body(self, request_id: int) -> StreamReader | None:
-        """What comes behind the beginning of an order's body."""
+        """The rest of a request's body, if only its start was reported with the request."""
         return self.streamed_bodies.get(request_id)
 
     def _on_disconnected(self, connection: RequestHandler) -> None:
@@ -384,10 +408,10 @@
             self.report(ClientDisconnected(client_id))
 
     def close_if_idle(self, client_id: int, immediately: bool = False) -> None:
-        """Ends a connection over which nothing is owed.
+        """Closes a connection on which no request is pending.
 
-        One over which something has come that nobody has read is left: it is a request, most likely, whose
-        client must not be answered by a reset. `immediately`: there is no room for such a wait.
+        A connection with unread bytes stays open: they are most likely a request, which a close would answer
+        with a reset. `immediately` closes it all the same, to make room for another.
         """
         connection = self.connections.get(client_id)
         transport = connection.transport if connection is not None else None
@@ -400,11 +424,11 @@
             if immediately or not peek_byte(transport):
                 connection.force_close()
         elif transport.get_write_buffer_size():
-            transport.abort()  # guards against a client that does not read its answer
-        # Otherwise a whole request has been read and its order is on its way: closing now would lose it.
+            transport.abort()  # the client does not read its answer
+        # Otherwise a complete request has been read and is about to be reported: closing would lose it.
 
     def disconnected_client(self, request_id: int) -> int | None:
-        """The client that asked, if its connection has ended and the loop has yet to say so."""
+        """The client of a pending request if its connection has closed and the loop has not noticed yet."""
         pending = self.pending.get(request_id)
         if pending is None:
             return None
@@ -414,19 +438,19 @@
         return self.client_ids.get(connection) if disconnected else None
 
     def abort(self, client_id: int) -> None:
-        """Ends a connection in the middle of an answer."""
+        """Resets a connection in the middle of an answer."""
         connection = self.connections.get(client_id)
         if connection is not None and connection.transport is not None:
             connection.transport.abort()
 
     def stop_reading_bodies(self) -> None:
-        """Answers requests whose bodies have not come whole and that became no order."""
+        """Stops reading bodies of requests that have not been reported yet; they are answered with 408."""
         for body in self.incomplete_bodies.values():
             if not body.is_eof():
                 body.set_exception(BodyReadCancelled())
 
     def answer(self, effect: AnswerClient, stream: StreamReader | None = None) -> None:
-        """`stream`: the answer's body, as it comes."""
+        """Hands the answer to the pending request; `stream` is the body of a streamed answer."""
         pending = self.pending.get(effect.request_id)
         if pending is not None and not pending.answer.done():
             pending.answer.set_result((effect, stream))
@@ -437,25 +461,24 @@
             return await self._answer_directly(request, 200 if self.is_ready() else 503)
         client_id = self.client_ids.get(request.protocol)
         if client_id is None:
-            return web.Response(status=400)  # gone before its request was read
+            return web.Response(status=400)  # disconnected before its request was read
         complete, body = request.content.is_eof(), b""
         try:
             if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
-                parse_request(
-                    request, 0, client_id, b"", self.catalog
-                )  # what will be refused is not asked for
+                # The body of a request that will be rejected is not asked for.
+                parse_request(request, 0, client_id, b"", self.catalog)
                 if not complete and request.version >= HttpVersion11:
                     request.transport.write(CONTINUE_RESPONSE)
             max_size = MAX_BODY if self.stream_bodies else MAX_BUFFERED_BODY
             if (request.content_length or 0) > max_size:
-                raise MalformedRequest(413, "a body that is too long")
+                raise MalformedRequest(413, "body is too long")
             if not complete:
                 self.report(RequestBodyStarted(client_id))
                 body, complete = await self._read_body_start(request)
             elif request.body_exists:
                 body = request.content.read_nowait(-1)
             if not complete and not self.stream_bodies:
-                raise MalformedRequest(413, "a body that is too long")
+                raise MalformedRequest(413, "body is too long")
             self.last_request_id += 1
             received = parse_request(request, self.last_request_id, client_id, body, self.catalog)
             if accept_delay:
@@ -473,9 +496,9 @@
 
     @staticmethod
     def _take_accept_delay(request: web.BaseRequest) -> timedelta:
-        """How long a connection's first request lay unread; nothing for any other.
+        """How long a connection's first request waited to be accepted; zero for any later request.
 
-        Guards servers against being told time that a client no longer has.
+        It is deducted from the time left, so that servers are not told of time that the client no longer has.
         """
         connection = request.protocol
         if not isinstance(connection, ClientConnection) or not connection.accept_delay:
@@ -518,8 +541,11 @@
         return await self._finish(request, response)
 
     async def _watch_for_disconnect(self, request: web.BaseRequest) -> None:
-        """Guards against holding, and sending on, a request whose client left while something that it sent
-        lies unread: the rest of a body, or more requests than are read ahead."""
+        """Aborts the connection when its client disconnects while reading is paused.
+
+        The loop does not notice a disconnect behind unread bytes: the rest of a body, or more pipelined
+        requests than are read ahead. The request would be kept, and sent on, for nobody.
+        """
         while (transport := request.transport) is not None and not transport.is_closing():
             if not transport.is_reading() and is_closed_by_peer(transport):
                 transport.abort()
@@ -528,9 +554,9 @@
     async def _answer_and_discard_body(
         self, request: web.BaseRequest, response: web.Response, client_id: int
     ) -> None:
-        """The answer leaves at once; what still comes of the request's body is dropped.
+        """Writes the answer at once and drops what still arrives of the request's body.
 
-        Guards the answer against the reset that a close would send a client that is still writing.
+        Closing the connection while the client is still sending would reset it and could destroy the answer.
         """
         await response.prepare(request)
         await response.write_eof()
@@ -540,7 +566,7 @@
             while not request.content.is_eof():
                 async with asyncio.timeout(BODY_STALL_TIMEOUT):
                     discarded += len(await request.content.readany())
-                # Guards the connection's place against a body without end, and one that hardly comes.
+                # An endless body, or one that hardly arrives, must not hold the connection.
                 if discarded > MAX_BODY or discarded < MIN_BODY_RATE * (
                     self.loop.time() - started - BODY_STALL_TIMEOUT
                 ):
@@ -553,9 +579,10 @@
     async def _stream_answer(
         self, request: web.BaseRequest, effect: AnswerClient, stream: StreamReader | None
     ) -> web.StreamResponse:
-        """A long answer, from its stock node to its client, no faster than either; memory holds a part of it.
+        """Streams a long answer from its server to its client, at the pace of the slower one.
 
-        One that breaks off is ended so that the client can tell: its connection is reset.
+        Only a part of it is in memory. If the answer breaks off, the connection is reset, so that the client
+        can tell.
         """
         response = web.StreamResponse(status=effect.status)
         if effect.content_type:
@@ -578,7 +605,7 @@
                     await response.write_eof()
                 complete = True
         except (OSError, ValueError, RuntimeError, TimeoutError, HttpProcessingError, ClientPayloadError):
-            pass  # a side has gone, has stopped, or its framing is no good
+            pass  # a side has disconnected or stalled, or its framing is invalid
         finally:
             if not complete and request.transport is not None:
                 request.transport.abort()
@@ -586,7 +613,10 @@
         return await self._finish(request, response)
 
     async def _read_body_start(self, request: web.BaseRequest) -> tuple[bytes, bool]:
-        """As much of a body as is held, and whether that is all. Raises MalformedRequest where it stops."""
+        """Reads as much of a body as is buffered; returns it and whether that is all.
+
+        Raises MalformedRequest if the body stalls, is too slow or cannot be read.
+        """
         parts, size, started = list[bytes](), 0, self.loop.time()
         self.incomplete_bodies[request.protocol] = request.content
         try:
@@ -598,26 +628,26 @@
                 parts.append(data)
                 size += len(data)
                 if size < MIN_BODY_RATE * (self.loop.time() - started - BODY_STALL_TIMEOUT):
-                    raise MalformedRequest(408, "a body that hardly comes")
+                    raise MalformedRequest(408, "body is sent too slowly")
             return b"".join(parts), request.content.at_eof()
         except (TimeoutError, BodyReadCancelled):
-            raise MalformedRequest(408, "a body that stops, or comes too late") from None
+            raise MalformedRequest(408, "body has stalled or arrives too late") from None
         except (OSError, ValueError, RuntimeError, HttpProcessingError, ClientPayloadError):
-            raise MalformedRequest(400, "a body that cannot be read") from None
+            raise MalformedRequest(400, "body cannot be read") from None
         finally:
             self.incomplete_bodies.pop(request.protocol, None)
 
     async def _answer_directly(
         self, request: web.BaseRequest, status: int, body: StreamReader | None = None
     ) -> web.StreamResponse:
-        """An answer to what is no order. A body that has not come whole ends the connection with it."""
+        """Answers a request that is not reported. An incomplete body closes the connection."""
         response = web.Response(status=status)
         if self.draining or body is not None and not body.is_eof():
             response.force_close()
         return await self._finish(request, response)
 
     async def _finish(self, request: web.BaseRequest, response: web.StreamResponse) -> web.StreamResponse:
-        """Writes an answer behind which the connection ends; any other is left to aiohttp."""
+        """Writes the answer if the connection is closed after it; otherwise leaves that to aiohttp."""
         last = response.keep_alive is False or not request.keep_alive
         if last and isinstance(connection := request.protocol, ClientConnection):
             await connection.answer_and_linger(request, response)
--- a/opalgauge/wire/listener.py
+++ b/opalgauge/wire/listener.py
@@ -1,7 +1,7 @@
-"""Listening sockets that go on accepting, whatever a single `accept` says.
+"""Listening sockets that go on accepting after an `accept` has failed.
 
-The event loop's own servers end a listener, or close the connection that waits, at an `accept` that fails for
-want of descriptors or memory. Here such a connection waits in the kernel's queue until there is room again.
+If `accept` fails for lack of descriptors or memory, the event loop's own servers stop listening or close the
+waiting connection. Here the connection waits in the kernel's queue until there is room again.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 from opalgauge.wire.socket_state import last_data_age
 
-MAX_ACCEPTS_PER_TURN = 64  # connections: others have their turn in between
-MAX_ABORTS_PER_TURN = 16  # connections that their clients have given up before they were accepted
-ACCEPT_RETRY_DELAY = 0.02  # s after an `accept` that failed: trying on at once would take the whole core
+MAX_ACCEPTS_PER_TURN = 64  # connections per loop iteration, so that other work has its turn
+MAX_ABORTS_PER_TURN = 16  # connections per loop iteration that were closed before they were accepted
+ACCEPT_RETRY_DELAY = 0.02  # s after a failed `accept`: retrying at once would use up the core
 
 
 def bind(host: str, port: int) -> socket.socket:
-    """A bound socket at an address of this machine. Raises OSError where it cannot be had."""
+    """Returns a socket bound to an address of this machine. Raises OSError if it cannot be bound."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -33,11 +33,11 @@
 
 
 class Acceptor:
-    """Hands every connection that a listening socket brings to `on_accepted`, until it is closed.
+    """Accepts connections from a listening socket and passes them to `on_accepted`, until it is closed.
 
-    With it goes for how many seconds what the client has written lay unread, where nobody accepted for a
-    while: an `accept` that failed, a suspension, or a process that begins on a socket at which clients wait
-    already (`inherited`).
+    The second argument of `on_accepted` is the accept delay: the seconds for which the client's data waited
+    unread because nobody accepted. That happens after a failed `accept`, during a suspension, and when a
+    process starts on a socket on which clients wait already (`inherited`).
     """
 
     def __init__(
@@ -47,7 +47,9 @@
         inherited: bool = False,
     ) -> None:
         self.listen_socket, self.on_accepted = listen_socket, on_accepted
-        self.not_accepting_since = -math.inf if inherited else math.inf  # nobody has accepted from then on
+        self.not_accepting_since = (
+            -math.inf if inherited else math.inf
+        )  # loop time since which nobody has accepted
         self.listen_socket.setblocking(False)
         self.loop = asyncio.get_running_loop()
         self.closed = self.closing = self.suspended = False
@@ -56,6 +58,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port that the socket listens on."""
         host, port, *_ = self.listen_socket.getsockname()
         return str(host), int(port)
 
@@ -66,7 +69,7 @@
             self._accept()
 
     def _accept(self) -> None:
-        """Takes what waits; closes the socket behind the last one where it is to be closed."""
+        """Accepts the waiting connections; closes the socket after the last one if it is being closed."""
         aborted = 0
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
@@ -91,7 +94,7 @@
             self._retry_later()
 
     def _accept_delay(self, accepted: socket.socket) -> float:
-        """Seconds, no more than nobody accepted: what came later lay unread for no longer than usual."""
+        """Seconds that the client's data waited, at most the time for which nobody accepted."""
         not_accepting_for = self.loop.time() - self.not_accepting_since
         return min(not_accepting_for, last_data_age(accepted)) if not_accepting_for > 0 else 0.0
 
@@ -102,7 +105,7 @@
             self.retry_timer = self.loop.call_later(ACCEPT_RETRY_DELAY, self._start_accepting)
 
     def suspend(self) -> None:
-        """Accepts no more for now."""
+        """Stops accepting until `resume`; waiting connections stay in the kernel's queue."""
         if self.closed or self.closing:
             return
         self.suspended = True
@@ -111,6 +114,7 @@
         self.loop.remove_reader(self.listen_socket.fileno())
 
     def resume(self) -> None:
+        """Accepts again after `suspend`."""
         if self.suspended and not self.closed:
             self.suspended = False
             self._start_accepting()
@@ -121,8 +125,8 @@
             self.retry_timer = None
 
     def close(self) -> None:
-        """Accepts no more. What waits in the kernel's queue is left to whoever else listens at the socket,
-        or reset with it."""
+        """Closes the socket. Waiting connections are left to another process that listens on the same
+        socket; without one they are reset."""
         if self.closed:
             return
         self.closed = True
@@ -131,7 +135,7 @@
         self.listen_socket.close()
 
     def close_when_empty(self) -> None:
-        """Closes the socket as soon as no connection waits in its queue: the queue's end resets what does."""
+        """Closes the socket once its queue is empty: closing it would reset the connections in it."""
         if not self.closed and not self.closing:
             self.closing = True
             if self.retry_timer is None:
@@ -139,7 +143,7 @@
 
 
 class Listener:
-    """A listening socket whose connections speak a protocol."""
+    """A listening socket that starts a protocol, made by `make_protocol`, on each accepted connection."""
 
     def __init__(
         self,
@@ -148,19 +152,20 @@
         make_protocol: Callable[[float], asyncio.Protocol],
         inherited: bool = False,
     ) -> None:
-        self.make_protocol = make_protocol  # told for how many seconds what the client has written lay unread
+        self.make_protocol = make_protocol  # called with the accept delay (s)
         self.loop = asyncio.get_running_loop()
-        self.starting: set[asyncio.Task[None]] = set()  # accepted, and not yet with their protocol
+        self.starting: set[asyncio.Task[None]] = set()  # accepted, without a protocol so far
         listen_socket.listen(backlog)
         self.acceptor = Acceptor(listen_socket, self._on_accepted, inherited)
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port that the socket listens on."""
         return self.acceptor.address
 
     @property
     def has_pending(self) -> bool:
-        """Whether a connection that was accepted, or is still to be, has not reached its protocol."""
+        """Whether a connection is still to be accepted while closing, or has no protocol so far."""
         return bool(self.starting) or self.acceptor.closing and not self.acceptor.closed
 
     def _on_accepted(self, accepted: socket.socket, accept_delay: float) -> None:
@@ -176,13 +181,17 @@
                 accepted.close()
 
     def suspend(self) -> None:
+        """See `Acceptor.suspend`."""
         self.acceptor.suspend()
 
     def resume(self) -> None:
+        """See `Acceptor.resume`."""
         self.acceptor.resume()
 
     def close(self) -> None:
+        """See `Acceptor.close`."""
         self.acceptor.close()
 
     def close_when_empty(self) -> None:
+        """See `Acceptor.close_when_empty`."""
         self.acceptor.close_when_empty()
--- a/opalgauge/wire/peers.py
+++ b/opalgauge/wire/peers.py
@@ -1,4 +1,4 @@
-"""Short datagrams between ingresses: sent and forgotten, taken in within a budget, dealt out by version."""
+"""Datagrams between ingresses: unacknowledged, limited in rate, dispatched by their version."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 from opalgauge.memory.signed_datagram import MAX_DATAGRAM_SIZE, VERSION_SIZE
 
-MAX_DATAGRAMS_PER_SECOND = 100  # a second; what comes beyond it is dropped unread
+MAX_DATAGRAMS_PER_SECOND = 100  # received; further ones are dropped unread
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """One UDP address, for all that the ingresses say to each other.
+    """The UDP socket over which the ingresses of a fleet exchange messages.
 
-    `handlers`: by a datagram's first two bytes, who reads it, and whether it could be. `dropped` counts what
-    was over the budget, too long, torn or of a version that nobody here reads.
+    `handlers` maps a version, the first two bytes of a datagram, to the function that reads it; the function
+    returns False for a datagram that it cannot read. `dropped` counts datagrams beyond the rate limit, too
+    long, unreadable or of an unknown version. `time` returns the seconds of a monotonic clock.
     """
 
     def __init__(self, addresses: Mapping[int, tuple[str, int]], time: Callable[[], float]) -> None:
@@ -26,10 +27,12 @@
         self.sent = self.dropped = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio when the socket is open."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        # Guards the one core against a flood: reading a message costs more than dropping it.
+        """Dispatches a datagram, or drops it."""
+        # Under a flood, dropping datagrams costs less CPU than reading them.
         second = int(self.time())
         if second != self.current_second:
             self.current_second, self.received = second, 0
@@ -44,14 +47,16 @@
             self.dropped += 1
 
     def error_received(self, exc: Exception) -> None:
-        """A peer that is not there: its message is lost, as others may be."""
+        """Ignores the errors of an unreachable peer: messages may be lost anyway."""
 
     def send(self, data: bytes, peer: int) -> None:
+        """Sends a datagram to a peer; does nothing if its address is unknown or the socket is closed."""
         address = self.addresses.get(peer)
         if address is not None and self.transport is not None and not self.transport.is_closing():
             self.sent += 1
             self.transport.sendto(data, address)
 
     def close(self) -> None:
+        """Closes the socket."""
         if self.transport is not None:
             self.transport.close()
--- a/opalgauge/wire/recorder.py
+++ b/opalgauge/wire/recorder.py
@@ -1,7 +1,8 @@
-"""A bounded record of what a process did last, for whoever looks into an incident.
+"""A bounded record of the last events and effects of a process, to investigate an incident.
 
-Events and effects go in as they pass between the reducer and the sockets, a few plain values each. They are
-put into words only when somebody asks: the admin endpoint, SIGUSR1, or a process that ends and owes answers.
+Events and effects are recorded as they pass between the reducer and the sockets, as a few plain values each.
+They are formatted only on demand: at the admin endpoint, on SIGUSR1, and when a process exits with requests
+still unanswered.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 
 from opalgauge.memory import effects, events
 
-MAX_ENTRIES = 4000  # entries: some hundred requests
+MAX_ENTRIES = 4000  # a few hundred requests
 
 
 class EntryFormat(NamedTuple):
-    """How one kind of event or effect is taken down: cheaply when it passes, in words when somebody asks.
+    """How a type of event or effect is recorded: `values` extracts what the `template` shows.
 
-    `values` takes what the words need and nothing that is large, as a body is.
+    `values` is called for each event or effect, so it is cheap and leaves out anything large, such as bodies.
     """
 
     template: str
@@ -77,7 +78,7 @@
 
 
 def _to_plain(value: Any) -> Any:
-    """A value as the words show it: seconds of a span, the name of a choice."""
+    """Converts a value for the template: durations to seconds, enum members to their value or name."""
     if isinstance(value, timedelta):
         return value.total_seconds()
     if isinstance(value, Enum):
@@ -86,26 +87,26 @@
 
 
 class Recorder:
-    """The last entries, the oldest first."""
+    """The last MAX_ENTRIES entries, the oldest first."""
 
     def __init__(self) -> None:
         self.entries: deque[tuple[datetime, str, tuple[Any, ...]]] = deque(maxlen=MAX_ENTRIES)
 
     def record(self, item: Any, at: datetime) -> None:
-        """Takes an event or an effect down, if it is of a kind that tells something."""
+        """Records an event or effect if its type has a format."""
         if (entry_format := ENTRY_FORMATS.get(type(item))) is not None:
             template, values = entry_format
             self.entries.append((at, template, values(item)))
 
     def lines(self) -> list[str]:
-        """All of it as text, a line an entry, with the time of day in UTC."""
+        """Formats the entries, one line each, with the time of day in UTC."""
         return [
             f"{at:%H:%M:%S.%f} {template.format(*map(_to_plain, values))}"
             for at, template, values in self.entries
         ]
 
     def write(self, folder: str, name: str, log: Callable[[str], None]) -> None:
-        """Writes all of it to a file, or says in the log why not."""
+        """Writes the entries to `opalgauge.NAME.record` in the folder; logs the result or the error."""
         path = Path(folder or ".") / f"opalgauge.{name}.record"
         try:
             path.write_text("\n".join(self.lines()) + "\n")
--- a/opalgauge/wire/runtime.py
+++ b/opalgauge/wire/runtime.py
@@ -1,4 +1,4 @@
-"""Carries out the reducer's effects and reports back what happens: the only place where the two meet."""
+"""Runs a reducer: feeds it events, carries out its effects on sockets and timers."""
 
 from __future__ import annotations
 
@@ -37,11 +37,15 @@
     UpstreamConnection,
 )
 
-MAX_LOGGED_FAULTS = 20  # log lines: a defect that shows at every order must not fill the disk
+MAX_LOGGED_FAULTS = 20  # log lines: a bug that shows at every request must not fill the disk
 
 
 class Runtime:
-    """One ingress's sockets round its reducer."""
+    """Connects a reducer with the outside: connections, clients, timer, recorder and log.
+
+    `effect_handlers` maps each type of effect to its handler. Optional parts of the program replace the
+    handlers of the effects that are meant for them. `on_exit` is called when the process can end.
+    """
 
     def __init__(
         self,
@@ -58,8 +62,9 @@
         self.connections: dict[int, UpstreamConnection] = {}
         self.connect_tasks: dict[int, asyncio.Task[None]] = {}
         self.probe_connections: set[int] = set()
-        self.body_tasks: dict[int, asyncio.Task[None]] = {}  # by line: bodies that are passed on as they come
-        self.stream_bodies = True  # long bodies pass through; not where orders pass between cores
+        self.body_tasks: dict[int, asyncio.Task[None]] = {}  # by connection: bodies that are streamed
+        # Whether long bodies are streamed. Workers that delegate requests to each other cannot do so.
+        self.stream_bodies = True
         self.timer: asyncio.TimerHandle | None = None
         self.event_queue: deque[Event] = deque()
         self.recorder = Recorder()
@@ -80,21 +85,21 @@
             effects.CloseClient: self._close_client,
             effects.AbortClient: lambda e: self.clients.abort(e.client_id) if self.clients else None,
             effects.StopReadingBodies: lambda _: self.clients.stop_reading_bodies() if self.clients else None,
-            # An ingress of one core passes nothing on; `opalgauge.cores` puts its own in their place.
+            # Only workers delegate requests: replaced by `opalgauge.cores`.
             effects.DelegateRequest: lambda _: None,
             effects.WithdrawRequest: lambda _: None,
             effects.WakeAt: self._wake_at,
             effects.StopAccepting: lambda _: self.clients.stop_accepting() if self.clients else None,
             effects.ResumeAccepting: lambda _: self.clients.resume_accepting() if self.clients else None,
-            # Answered and kept where there is an admin endpoint; `opalgauge.console` puts its own here.
+            # Only with an admin endpoint: replaced by `opalgauge.console`.
             effects.AnswerStaff: lambda _: None,
             effects.PersistBans: lambda _: None,
-            # Heard where zones are judged; `opalgauge.zones` puts its own here.
+            # Only if the health of zones is watched: replaced by `opalgauge.zones`.
             effects.ReportAttempt: lambda _: None,
             effects.ReportServers: lambda _: None,
-            # Heard where state is replicated; `opalgauge.replica` puts its own here.
+            # Only if state is replicated: replaced by `opalgauge.replica`.
             effects.ReplicateBan: lambda _: None,
-            # Heard where leases of quotas are held; `opalgauge.leases` puts its own here.
+            # Only with leases: replaced by `opalgauge.leases`.
             effects.ReportAccount: lambda _: None,
             effects.AskLeaseHolder: lambda _: None,
             effects.ReportCounterResult: lambda _: None,
@@ -104,10 +109,14 @@
         }
 
     def start(self) -> None:
+        """Starts the reducer and carries out its first effects."""
         self._execute(self.reducer.start(self.now()))
 
     def report(self, event: Event) -> None:
-        """Events are taken one at a time: one that comes while effects are carried out waits for them."""
+        """Passes an event to the reducer and carries out its effects.
+
+        Events are processed one at a time: one that is reported while effects are carried out is queued.
+        """
         if type(event) is ConnectionLost or type(event) is ConnectionStale:
             self.connections.pop(event.connection_id, None)
             self.probe_connections.discard(event.connection_id)
@@ -123,19 +132,19 @@
                 try:
                     self._execute(self.reducer.step(event, self.now()))
                 except Exception as error:
-                    # Guards all other clients against what one event brings to light; the reducer's guard
-                    # still answers the order that it was about.
+                    # A bug that one event triggers must not affect other clients. The reducer's
+                    # timer still answers the request that it was about.
                     self.report_fault(f"{type(event).__name__}: {error!r}")
         finally:
             self.processing = False
 
     def time_until_exit(self) -> timedelta:
-        """Until SIGKILL may come, less the time that an exit takes; of a process that is draining."""
+        """Time until a draining process has to exit, to be gone before SIGKILL; unlimited if not draining."""
         drain = self.reducer.state.drain_schedule
         return timedelta.max if drain is None else max(timedelta(0), drain.exit - self.now())
 
     def report_fault(self, description: str) -> None:
-        """A defect of the program, told a bounded number of times."""
+        """Logs a bug of the program, up to MAX_LOGGED_FAULTS times."""
         self.fault_count += 1
         if self.fault_count <= MAX_LOGGED_FAULTS:
             suffix = "; further ones are not logged" if self.fault_count == MAX_LOGGED_FAULTS else ""
@@ -148,7 +157,7 @@
             try:
                 self.effect_handlers[type(effect)](effect)
             except Exception as error:
-                # Guards the answers behind it: the other effects of the same event are still carried out.
+                # The remaining effects of the event, answers among them, are still carried out.
                 self.report_fault(f"{type(effect).__name__}: {error!r}")
 
     # --- connections ---------------------------------------------------------------------------------------
@@ -196,8 +205,8 @@
             self.clients is not None
             and (client_id := self.clients.disconnected_client(effect.request_id)) is not None
         ):
-            # Guards against an attempt for a client that closed a while ago: a loop that was held up reads
-            # its request first, and its end after that.
+            # Nothing is sent for a client that has disconnected. After the loop was delayed, it reads the
+            # request first and the disconnect after it.
             self.report(AttemptWriteBlocked(effect.connection_id))
             self.report(ClientDisconnected(client_id))
             return
@@ -218,7 +227,7 @@
     async def _stream_body(
         self, effect: effects.SendAttempt, connection: UpstreamConnection, body: StreamReader
     ) -> None:
-        """The rest of a body, from its client to the stock node, no faster than either."""
+        """Streams the rest of a body from its client to the server, at the pace of the slower one."""
         chunked, sent = effect.http_request.body_length is None, len(effect.http_request.body)
         try:
             while True:
@@ -239,7 +248,7 @@
         except TimeoutError:
             self.report(RequestBodyStalled(effect.request_id))
         except (OSError, ValueError, RuntimeError, ClientPayloadError):
-            # The client's framing is no good, or a side has gone.
+            # The client's framing is invalid, or a side has disconnected.
             self.report(RequestBodyStalled(effect.request_id))
         finally:
             self.body_tasks.pop(effect.connection_id, None)
@@ -258,7 +267,7 @@
             return server_codec.parse_probe_reply(connection_id, reply)
         return server_codec.parse_attempt_reply(connection_id, reply)
 
-    # --- the rest ------------------------------------------------------------------------------------------
+    # --- clients and timer ---------------------------------------------------------------------------------
     def _answer_client(self, effect: effects.AnswerClient) -> None:
         if self.clients is not None:
             connection = (
--- a/opalgauge/wire/server_codec.py
+++ b/opalgauge/wire/server_codec.py
@@ -1,4 +1,4 @@
-"""Attempts and probes as the stock nodes read them, and what their answers mean."""
+"""The HTTP protocol of the servers: attempts and probes, and what the answers to them mean."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def encode_attempt(http_request: HttpRequest, time_left: timedelta) -> bytes:
-    """The client's own method, path, query, id, key and body; the time is what this attempt is given."""
+    """Encodes an attempt: the client's method, target, forwarded headers and body, with its own time left.
+
+    If only the start of the body is known so far, the head announces the rest.
+    """
     if http_request.has_more_body and http_request.body_length is None:
         length, body = "Transfer-Encoding: chunked\r\n", encode_chunk(http_request.body)
     else:
@@ -36,7 +39,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """A part of a body whose length is not known; an empty one would end it."""
+    """Encodes a part of a chunked body; an empty part gives nothing, as an empty chunk would end the body."""
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
@@ -44,7 +47,7 @@
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """The values of a load report; what cannot be read is left out."""
+    """Parses a load report of `name=value` pairs; what is unknown, malformed or out of range is left out."""
     report: dict[str, float] = {}
     for item in text.split(","):
         name, _, value = item.partition("=")
@@ -56,13 +59,14 @@
 
 
 def parse_true_units(headers: Mapping[str, str]) -> float | None:
-    """What the request was found to take, in units; None where it is not told, or cannot be meant."""
+    """The units that the server found the request to cost; None if not stated or not plausible."""
     units = headers.get("X-Cost-Units", "")
-    # Guards an account's count against a figure that is none: what was told before stays charged.
+    # Without a plausible number, the account stays charged with the units that were stated beforehand.
     return float(units) if UNITS_PATTERN.fullmatch(units) and float(units) > 0 else None
 
 
 def parse_attempt_reply(connection_id: int, reply: Reply) -> ServerAnswered:
+    """Parses the answer to an attempt. It is rejected, so that nothing ran, only if it says so explicitly."""
     headers: Mapping[str, str] = reply.head.headers
     load = parse_load_report(headers.get("X-Backend-Load", ""))
     if reply.status == 200:
@@ -76,7 +80,7 @@
 
 
 def parse_stream_start(connection_id: int, reply: Reply, length: int | None) -> StreamedAnswerStarted:
-    """A good answer that is too long to be held."""
+    """Parses the head of a successful answer that is too long to be buffered."""
     headers: Mapping[str, str] = reply.head.headers
     load = parse_load_report(headers.get("X-Backend-Load", ""))
     return StreamedAnswerStarted(
@@ -85,6 +89,7 @@
 
 
 def parse_probe_reply(connection_id: int, reply: Reply) -> ServerAnswered:
+    """Parses the answer to a probe: a load report."""
     if reply.status != 200:
         return ServerAnswered(
             connection_id, End.REJECTED if reply.status == 503 else End.ERROR, reply.keep_alive
--- a/opalgauge/wire/server_list.py
+++ b/opalgauge/wire/server_list.py
@@ -1,4 +1,4 @@
-"""Questions as the node list agent reads them, and the list in its answers."""
+"""The protocol of the discovery agent: requests for the server list, and its answers."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 
 HEALTH_BY_NAME = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.GONE}
 
-UNAVAILABLE_STATUSES = (429, 503, 504)  # it has no turn to give just now
+UNAVAILABLE_STATUSES = (429, 503, 504)  # the agent cannot answer now; its last list stays valid
 
 
 def server_id_for(host: str) -> int:
-    """A stock node's number: alike on every ingress, whatever address it is reached at."""
+    """A server's id, derived from its host name: the same on every ingress, whatever its address."""
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=6).digest(), "big")
 
 
 def encode_list_request(since_version: int | None, wait: timedelta) -> bytes:
+    """Requests the changes since a version, for which the agent waits up to `wait`, or the whole list."""
     query = (
         ""
         if since_version is None
@@ -33,7 +34,7 @@
 
 
 def finite_float(value: Any) -> float:
-    """A figure of a list; what is none, or has no end, makes the list unreadable."""
+    """Converts a number in a list; raises ValueError or TypeError if it is none or not finite."""
     number = float(value)
     if not math.isfinite(number):
         raise ValueError("not a finite figure")
@@ -41,7 +42,11 @@
 
 
 def parse_servers(hosts: Sequence[Any], zones: Sequence[str]) -> tuple[ListedServer, ...]:
-    """The stock nodes of a list; raises what an unreadable line raises."""
+    """Parses the servers of a list.
+
+    A zone that is not in `zones` gets the index after the last one. Raises ValueError, KeyError, TypeError,
+    AttributeError or OverflowError for an entry that cannot be read.
+    """
     servers = []
     for host in hosts:
         zone_name = str(host.get("site", ""))
@@ -58,12 +63,13 @@
 
 
 class ServerListReader:
-    """Reads answers in the words of this deployment's zones."""
+    """Parses the agent's answers; `zones` are the names of the deployment's zones, in order."""
 
     def __init__(self, zones: Sequence[str]) -> None:
         self.zones = zones
 
     def parse_reply(self, connection_id: int, reply: Reply) -> ServerListAnswered:
+        """Parses an answer; an unreadable one gives an event without servers."""
         unreadable = ServerListAnswered(connection_id, False)
         if reply.status in UNAVAILABLE_STATUSES:
             return ServerListAnswered(connection_id, False, refused=True)
--- a/opalgauge/wire/socket_state.py
+++ b/opalgauge/wire/socket_state.py
@@ -1,4 +1,4 @@
-"""Looks at a transport's socket that the loop does not offer: what lies unread there, and its end."""
+"""Socket state that the event loop does not expose: unread bytes, a close by the peer, the age of data."""
 
 from __future__ import annotations
 
@@ -7,20 +7,17 @@
 import socket
 import struct
 
-LAST_DATA_RECV = struct.Struct("=I")  # tcpi_last_data_recv (ms), as linux/tcp.h lays it out
-LAST_DATA_RECV_OFFSET = 52
-TCP_CLOSE, TCP_CLOSE_WAIT = (
-    7,
-    8,
-)  # what the system calls a connection that was reset, and one whose peer has ended
+LAST_DATA_RECV = struct.Struct("=I")  # tcpi_last_data_recv (ms) in struct tcp_info of linux/tcp.h
+LAST_DATA_RECV_OFFSET = 52  # bytes
+TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8  # TCP states: after a reset, and after a close by the peer
 
 
 def _borrow_socket(transport: asyncio.BaseTransport) -> socket.SocketType | None:
-    """The socket behind one of the loop's own, for the moment; None where the loop has let go of it.
+    """A socket object on the transport's descriptor; None if the loop has closed it already.
 
-    It stands on the loop's own descriptor and has to be detached again. Guards against closing that: its
-    number would soon be another connection's, and bytes of one would go to the other. The bare type, as this
-    is asked several times for each request; the family that it is told is only kept in the object.
+    The caller has to detach it. Otherwise its destructor would close the loop's descriptor; the number would
+    soon be reused, and data would reach another connection. The bare `SocketType` is used for its speed, as
+    this is called several times for each request; it only stores the address family that it is given.
     """
     loop_socket = transport.get_extra_info("socket")
     if loop_socket is None or (descriptor := loop_socket.fileno()) < 0:
@@ -29,7 +26,7 @@
 
 
 def peek_byte(transport: asyncio.BaseTransport) -> bytes | None:
-    """A byte that has come and was not read; empty at the connection's end, None where nothing has come."""
+    """The next unread byte: empty if the connection has ended, None if nothing has arrived."""
     borrowed = _borrow_socket(transport)
     if borrowed is None:
         return b""
@@ -44,11 +41,13 @@
 
 
 def is_closed_by_peer(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has ended it, also behind bytes that nobody has read. The loop hears of an end
-    by reading up to it, which it does not do while reading is paused."""
+    """Whether the peer has closed the connection, even if unread bytes precede the close.
+
+    The loop notices a close only by reading up to it, which it does not do while reading is paused.
+    """
     borrowed = _borrow_socket(transport)
     if borrowed is None:
-        return False  # the loop is about to say so itself
+        return False  # the loop is about to report the close itself
     try:
         state = borrowed.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
     except OSError:
@@ -59,7 +58,7 @@
 
 
 def shut_down(transport: asyncio.BaseTransport) -> None:
-    """Ends a connection at once: closing its transport does so a turn of the loop later."""
+    """Shuts a connection down at once; closing its transport would do so one loop iteration later."""
     borrowed = _borrow_socket(transport)
     if borrowed is not None:
         with contextlib.suppress(OSError):
@@ -68,7 +67,7 @@
 
 
 def last_data_age(accepted: socket.socket) -> float:
-    """For how many seconds all that has come over a new connection lies unread; 0 where nothing has come."""
+    """Seconds since data last arrived on a newly accepted connection; 0 if none has, or on an error."""
     try:
         accepted.recv(1, socket.MSG_PEEK)
         info = accepted.getsockopt(
--- a/opalgauge/wire/upstream.py
+++ b/opalgauge/wire/upstream.py
@@ -1,8 +1,8 @@
-"""A connection that this ingress opens: bytes out, answers in, one event for each thing that happens.
+"""Upstream connections: write requests, parse answers and report one event for everything that happens.
 
-aiohttp's client session was measured at 163 us of CPU a call against 38 us for its own response parser on a
-bare connection, and it cannot write calls one behind another; so this is the session's nearest relative. It
-sends nothing by itself a second time, follows no redirect, keeps no cookie and decompresses nothing.
+They use aiohttp's response parser on a bare connection, at 38 us of CPU a call, and not its client session,
+which takes 163 us and cannot pipeline requests. Nothing is resent, no redirect followed, no cookie kept and
+nothing decompressed.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 )
 from opalgauge.wire.socket_state import peek_byte, shut_down
 
-MAX_BUFFERED_BODY = 64 * 1024  # bytes: a longer answer is not held, but passed on while it comes
-MAX_BODY = 40 * 1024 * 1024  # bytes: nor is any message longer
-MAX_COUNTER_REPLY = 64  # bytes: nor is a count's total longer
-MAX_HEAD = 16 * 1024  # bytes: nor is all that comes ahead of a body
-MAX_SERVER_LIST = 4 * 1024 * 1024  # bytes: nor is a node list longer
+MAX_BUFFERED_BODY = 64 * 1024  # bytes of a body that are buffered; longer ones are streamed
+MAX_BODY = 40 * 1024 * 1024  # bytes of a streamed body
+MAX_COUNTER_REPLY = 64  # bytes of the body of a counter's answer
+MAX_HEAD = 16 * 1024  # bytes ahead of a body
+MAX_SERVER_LIST = 4 * 1024 * 1024  # bytes of a server list
 
 
 @dataclass(slots=True)
 class Reply:
-    """One whole answer; `keep_alive`: the connection can carry another."""
+    """A complete answer, or the head of a streamed one; with `keep_alive` the connection can be reused."""
 
     status: int
     head: RawResponseMessage
@@ -48,19 +48,22 @@
     keep_alive: bool
 
 
-PARTIAL_REPORT_INTERVAL = 0.05  # s: how often an answer that comes in pieces is told to go on
+PARTIAL_REPORT_INTERVAL = 0.05  # s between two reports that an answer is still arriving
 
-TERMINATOR = b"\r\n\r\n"  # of a head, and of an answer in chunks
+TERMINATOR = b"\r\n\r\n"  # ends a head, and a chunked answer
 
 ParseReply = Callable[[int, Reply], Event]
-ParseStreamStart = Callable[
-    [int, Reply, int | None], Event
-]  # an answer's head, and its length where it tells one
+# Connection id, head of the answer, and its length if declared.
+ParseStreamStart = Callable[[int, Reply, int | None], Event]
 ParsedAnswer = tuple[RawResponseMessage, StreamReader]
 
 
 class UpstreamConnection(BaseProtocol):
-    """One outgoing connection. Whatever goes wrong on it ends here, as one `ConnectionLost`."""
+    """One upstream connection. Any failure closes it and is reported as one `ConnectionLost`.
+
+    `parse_reply` turns a complete answer into an event, `parse_stream_start` the head of an answer with more
+    than `max_body` bytes, which is streamed. Without `parse_stream_start` such an answer is a failure.
+    """
 
     def __init__(
         self,
@@ -78,18 +81,17 @@
             parse_reply,
             max_body,
         )
-        self.parse_stream_start = parse_stream_start  # None: an answer that is too long to be held is a fault
-        self.stream: ParsedAnswer | None = None  # the long answer that is being passed on
-        self.sending_body = self.written_event_due = (
-            False  # a body is still being written; its end is to be told
-        )
+        self.parse_stream_start = parse_stream_start
+        self.stream: ParsedAnswer | None = None  # the answer that is being streamed
+        # A request body is still being written; `AttemptWritten` is still to be reported.
+        self.sending_body = self.written_event_due = False
         self.parser = self._new_parser()
         self.progress = Progress.CONNECTING
         self.closed = self.used = self.was_partial = False
-        self.pending_answers = 0  # answers to what was sent
-        self.last_partial_at = 0.0  # when it was last told that an answer is not whole yet
-        self.incomplete_answers: deque[ParsedAnswer] = deque()  # answers whose last byte has not come
-        self.incomplete_data = bytearray()  # all bytes of these
+        self.pending_answers = 0  # requests sent and not answered
+        self.last_partial_at = 0.0  # loop time of the last `AnswerPartReceived`
+        self.incomplete_answers: deque[ParsedAnswer] = deque()
+        self.incomplete_data = bytearray()  # all bytes of the incomplete answers
 
     def _new_parser(self) -> HttpResponseParser:
         return HttpResponseParser(
@@ -97,13 +99,13 @@
             auto_decompress=False, read_until_eof=self.parse_stream_start is not None,
         )  # fmt: skip
 
-    # --- asyncio's side ------------------------------------------------------------------------------------
+    # --- callbacks of asyncio and aiohttp ------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Reports the connection as open."""
         super().connection_made(transport)
         tcp_transport = cast(asyncio.Transport, transport)
-        tcp_transport.set_write_buffer_limits(
-            high=0
-        )  # so that `pause_writing` tells of every byte not yet written
+        # With a limit of 0, `pause_writing` is called whenever a byte could not be written at once.
+        tcp_transport.set_write_buffer_limits(high=0)
         self.progress = Progress.WRITING
         if self.closed:
             tcp_transport.abort()
@@ -111,10 +113,12 @@
             self.report(ConnectionOpened(self.connection_id))
 
     def pause_writing(self) -> None:
+        """Called when the kernel did not take all bytes of a write."""
         super().pause_writing()
         self.progress = Progress.WRITING
 
     def resume_writing(self) -> None:
+        """Called when the kernel has taken all bytes."""
         super().resume_writing()
         if not self.sending_body and self.progress is Progress.WRITING:
             self.progress = Progress.WRITTEN
@@ -123,10 +127,11 @@
                 self.report(AttemptWritten(self.connection_id))
 
     def data_received(self, data: bytes) -> None:
+        """Parses received bytes and reports the answers, or parts of answers, in them."""
         if self.closed:
             return
         if not self.pending_answers:
-            # Guards against noise and second copies behind an answer: they would be taken for the next one.
+            # Garbage or a second copy after an answer would be taken for the answer to the next request.
             self._fail()
             return
         self.progress = Progress.ANSWERING
@@ -139,7 +144,7 @@
             received = self.incomplete_data
         try:
             messages, upgraded, _ = self.parser.feed_data(data)
-        except Exception:  # whatever the other side sent, it ends this connection and nothing else
+        except Exception:  # whatever the peer sent, it affects this connection only
             self._report_answers(self._parse_complete_answers(bytes(received)), received, False)
             return
         if upgraded:
@@ -152,7 +157,7 @@
             unbounded = length is None and self.parse_stream_start is None
             max_length = MAX_BODY if self.parse_stream_start is not None else self.max_body
             if not message.chunked and (unbounded or length is not None and int(length) > max_length):
-                # Guards against what cannot be said to be whole, and what is far too long.
+                # The end of the answer could not be recognised, or it is too long.
                 self._report_answers(self._parse_complete_answers(bytes(received)), received, False)
                 return
             self.incomplete_answers.append((message, payload))
@@ -171,9 +176,8 @@
         ):
             self._start_stream(*self.incomplete_answers.popleft())
             return
-        partial = bool(self.incomplete_answers) or not (
-            complete or messages
-        )  # a 1xx alone: the answer may take its time
+        # A 1xx answer alone does not count: the final answer may take its time.
+        partial = bool(self.incomplete_answers) or not (complete or messages)
         self._report_answers(
             complete, received, len(complete) + len(self.incomplete_answers) <= self.pending_answers
         )
@@ -186,7 +190,7 @@
             and body.total_bytes > self.max_body
         )
         if unbounded or body is not None and body.exception() is not None:
-            self._fail()  # guards against an answer without end, and chunks that cannot be read
+            self._fail()  # an endless head or body, or malformed chunks
         elif partial and (
             not self.was_partial or self._loop.time() - self.last_partial_at > PARTIAL_REPORT_INTERVAL
         ):
@@ -195,10 +199,10 @@
         self.was_partial = partial
 
     def _must_stream(self, message: RawResponseMessage, body: StreamReader) -> bool:
-        """Whether an answer is to be passed on as it comes: it has begun to, and is too long to be held."""
+        """Whether an answer has to be streamed: its body has begun and is too long to be buffered."""
         if body.exception() is not None or not body.total_bytes:
             return False
-        # Held back by its own many small chunks it would wait for ever.
+        # Many small chunks can pause reading before the limit is reached: buffering would wait forever.
         too_long = body.total_bytes > self.max_body or self._reading_paused
         return (
             too_long or not message.chunked and int(message.headers.get("Content-Length", 0)) > self.max_body
@@ -207,7 +211,7 @@
     def _start_stream(self, message: RawResponseMessage, body: StreamReader) -> None:
         assert self.parse_stream_start is not None
         if message.code != 200:
-            # A failure needs no body: what it says is in its first line and headers.
+            # The body of an error is not needed: the status and the headers say all.
             self.pending_answers -= 1
             self.report(self.parse_reply(self.connection_id, Reply(message.code, message, b"", False)))
             return
@@ -240,7 +244,7 @@
         self.report(StreamedAnswerReceived(self.connection_id, keep_alive))
 
     def _finish_at_eof(self) -> None:
-        """The other side has ended the connection: that may be how it ends its answer."""
+        """Handles a close by the peer, which may be how it ends its answer."""
         answer = self.stream or (self.incomplete_answers[0] if self.incomplete_answers else None)
         if self.closed or answer is None:
             return
@@ -256,7 +260,7 @@
     def _report_answers(
         self, complete: list[ParsedAnswer], received: bytes | bytearray, well_formed: bool
     ) -> None:
-        """Answers whose last byte has come. A connection that is not sound ends with the last of them."""
+        """Reports complete answers; then closes the connection if what follows them is not well-formed."""
         complete = complete[: self.pending_answers]
         for n, (message, payload) in enumerate(complete, 1):
             self.pending_answers -= 1
@@ -266,9 +270,8 @@
                 or self.incomplete_answers
                 or received.endswith(body if body and not message.chunked else TERMINATOR)
             ):
-                well_formed = (
-                    False  # guards against the beginning of something that the parser has not refused yet
-                )
+                # Something follows the answer that the parser has not rejected yet.
+                well_formed = False
             keep_alive = (
                 not message.should_close and not self.sending_body and (well_formed or n < len(complete))
             )
@@ -279,9 +282,9 @@
             self._fail()
 
     def _parse_complete_answers(self, received: bytes) -> list[ParsedAnswer]:
-        """The whole answers ahead of bytes that cannot be read: they are good, what follows them is not.
+        """Parses the complete answers ahead of malformed bytes; they are valid, what follows is not.
 
-        The parser drops them with the rest, so they are read once more, each no further than it says it goes.
+        The parser has discarded them with the rest, so they are parsed again, each up to its declared length.
         """
         complete: list[ParsedAnswer] = []
         parser, position = self._new_parser(), 0
@@ -302,23 +305,26 @@
         return complete
 
     def pause_reading(self) -> None:
-        # The socket alone: the parser goes on with what has been read, a read's bytes at most.
+        """Pauses the socket only; the parser continues with what has been read, one read at most."""
         self._reading_paused = True
         self._pause_transport_reading()
 
     def resume_reading(self, resume_parser: bool = True) -> None:
+        """Resumes reading from the socket."""
         if self._reading_paused:
             self._reading_paused = False
             self._resume_transport_reading()
 
     def connection_lost(self, exc: BaseException | None) -> None:
+        """Reports an answer that ends with the connection, then the loss of the connection."""
         super().connection_lost(exc)
         if exc is None:
             self._finish_at_eof()
         self._fail()
 
-    # --- our side ------------------------------------------------------------------------------------------
+    # --- calls of the runtime ------------------------------------------------------------------------------
     def send(self, data: bytes) -> None:
+        """Writes a request, or its start if `sending_body` is set; reports a stale connection instead."""
         if self.closed or self.transport is None:
             return
         if not self.pending_answers and self.used and self._is_stale():
@@ -327,7 +333,7 @@
             return
         self.pending_answers += 1
         self.used = True
-        self.progress = Progress.WRITTEN  # unless `write` finds that some is left, and says so
+        self.progress = Progress.WRITTEN  # `write` calls `pause_writing` if bytes are left
         self.transport.write(data)
         if (
             self.progress is Progress.WRITING
@@ -338,13 +344,13 @@
             self.report(AttemptWriteBlocked(self.connection_id))
 
     async def send_body_part(self, data: bytes) -> None:
-        """A further part of a body that is being passed on. Returns when there is room for another."""
+        """Writes the next part of a streamed body. Returns when there is room for another."""
         if not self.closed and self.transport is not None:
             self.transport.write(data)
             await self._drain_helper()
 
     def finish_body(self) -> None:
-        """The body's last byte has been handed over."""
+        """Ends a streamed body: all of it has been handed to the transport."""
         self.sending_body = False
         if self.closed or self.progress is Progress.ANSWERING:
             return
@@ -355,20 +361,19 @@
             self.report(AttemptWritten(self.connection_id))
 
     def _is_stale(self) -> bool:
-        """Whether there is something to read, or the end, on a connection on which nothing is owed.
+        """Whether a connection without pending answers has been closed by the peer or has unread bytes.
 
-        Guards against writing to a connection that the other side has just closed, which would be a reset,
-        and against taking what it sent unasked for the answer; the loop may yet have to tell of either.
+        The loop may not have noticed either yet. A request on a closed connection would end in a reset, and
+        unsolicited bytes would be taken for its answer.
         """
         assert self.transport is not None
         return peek_byte(self.transport) is not None
 
     def close(self) -> None:
-        """Ends the connection before anything else is sent on another; nothing more is reported."""
+        """Closes the connection at once; nothing more is reported."""
         self.closed = True
         if self.transport is not None:
-            # Guards against the loop's habit of closing a socket a turn later, when a further attempt would
-            # already be out.
+            # The loop closes a socket one iteration later, when the next attempt may already be sent.
             shut_down(self.transport)
             self.transport.abort()
 
