--- a/tests/test_client_lines.py
+++ b/tests/test_client_lines.py
@@ -23,7 +23,7 @@
     return client
 
 
-def test_a_client_that_asks_nothing_is_closed_within_three_seconds_of_connecting() -> None:
+def test_a_client_that_sends_nothing_is_closed_within_three_seconds() -> None:
     rig = ReducerRig()
     rig.step(events.ClientConnected(900))
     rig.pass_time(timedelta(seconds=2))
@@ -32,7 +32,7 @@
     assert closed_clients(rig) == [900]
 
 
-def test_a_client_that_asked_once_and_stays_is_closed_some_seconds_later() -> None:
+def test_a_client_that_stays_idle_after_a_request_is_closed() -> None:
     rig = ReducerRig()
     client = serve_new_client(rig)
     rig.pass_time(timedelta(seconds=2))
@@ -52,7 +52,7 @@
     assert not closed_clients(rig) and not rig.answers
 
 
-def test_in_a_crowd_the_longest_silent_makes_room_first_then_the_longest_kept() -> None:
+def test_at_the_limit_the_longest_silent_client_is_closed_first_then_the_longest_idle() -> None:
     rig = ReducerRig(max_clients=3)
     kept = serve_new_client(rig)
     rig.pass_time(timedelta(milliseconds=1750))
@@ -67,7 +67,7 @@
     assert closed_clients(rig) == [901, kept], "the silent ones have only just come"
 
 
-def test_in_a_crowd_of_clients_that_have_just_come_the_newest_is_turned_away() -> None:
+def test_at_the_limit_of_clients_that_have_just_connected_the_newest_is_closed() -> None:
     # Guards those whose request is still on its way against the crowd behind them.
     rig = ReducerRig(max_clients=2)
     for client in (901, 902, 903):
@@ -75,7 +75,7 @@
     assert closed_clients(rig) == [903]
 
 
-def test_in_a_crowd_that_asks_once_and_stays_first_answers_end_their_connections() -> None:
+def test_with_many_idle_clients_first_answers_close_their_connections() -> None:
     rig = ReducerRig(keep_alive_limit=3)
     for _ in range(3):
         serve_new_client(rig)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -32,7 +32,7 @@
     return record.ClockReading(CLOCKS.wall_clock + elapsed, CLOCKS.monotonic + elapsed)
 
 
-def test_a_process_with_a_successor_leaves_once_its_clients_have_their_last_answers() -> None:
+def test_a_process_with_a_successor_exits_once_its_clients_have_their_last_answers() -> None:
     rig = ReducerRig()
     for client in (1, 2):
         rig.step(events.ClientConnected(client))
@@ -216,9 +216,9 @@
 }
 
 
-@pytest.mark.parametrize("stranger", OTHER_PROCESSES)
-def test_the_snapshot_of_another_ingress_or_other_settings_is_not_used(stranger: str, tmp_path: Path) -> None:
-    other, same_ingress = OTHER_PROCESSES[stranger]
+@pytest.mark.parametrize("case", OTHER_PROCESSES)
+def test_the_snapshot_of_another_ingress_or_other_settings_is_not_used(case: str, tmp_path: Path) -> None:
+    other, same_ingress = OTHER_PROCESSES[case]
 
     async def scenario() -> None:
         old_reported, new_reported, log = list[events.Event](), list[events.Event](), list[str]()
--- a/tests/test_kill.py
+++ b/tests/test_kill.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("successor", [False, True], ids=["stop", "upgrade"])
 @pytest.mark.parametrize("deadline", [0.4, 3.0, 8.0])
-def test_the_kill_at_its_earliest_finds_a_request_in_every_state(deadline: float, successor: bool) -> None:
+def test_the_earliest_kill_finds_a_request_in_every_state(deadline: float, successor: bool) -> None:
     sent = ("early", "begun", "later")
     others = ("streamed", "big", "half-head", "half-body", "long-body", "silent", "last")
 
@@ -105,7 +105,7 @@
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_a_shared_descriptor_without_a_successor_is_no_reason_to_turn_clients_away() -> None:
+def test_a_shared_descriptor_without_a_successor_rejects_no_clients() -> None:
     async def scenario() -> None:
         async with scene(3.0, successor=True) as (running, _):
             await running.connect("kept")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("error", ACCEPT_ERRORS)
-def test_an_accept_that_fails_for_a_moment_delays_a_client_and_loses_none(error: str, tmp_path: Path) -> None:
+def test_a_failing_accept_delays_a_client_and_loses_none(error: str, tmp_path: Path) -> None:
     async def scenario() -> None:
         async with scene(tmp_path) as running:
             running.shim.give("accept", getattr(errno, error))
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"])
-def test_connections_that_break_end_alone(error: str, tmp_path: Path) -> None:
+def test_a_broken_connection_affects_no_other(error: str, tmp_path: Path) -> None:
     async def scenario() -> None:
         async with scene(tmp_path) as running:
             running.shim.give("read", getattr(errno, error))
