--- a/tests/kill_scene.py
+++ b/tests/kill_scene.py
@@ -1,4 +1,4 @@
-"""A process that is asked to stop, a request in every state, and SIGKILL at the earliest instant."""
+"""A scene for tests of SIGKILL: an ingress that is asked to stop, with requests in every state."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from tests import harness
 
 CONTENT_LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
-BUFFERED_SIZE = 60_000  # bytes: an answer that is held whole
-STREAMED_SIZE = 3_000_000  # bytes: an answer that is passed on while it comes
-SENT_PART = 200_000  # bytes of it that the server gives
+BUFFERED_SIZE = 60_000  # bytes of an answer that is buffered
+STREAMED_SIZE = 3_000_000  # bytes of an answer that is streamed
+SENT_PART = 200_000  # bytes of the streamed answer that the server sends
 
 
 def kill_delay(deadline: float) -> float:
-    """Seconds between SIGTERM and the earliest SIGKILL, as the platform's page gives them."""
+    """Seconds between SIGTERM and the earliest SIGKILL, as the platform documents them."""
     return min(deadline, 3.0) + 0.7
 
 
 def settings(deadline: float) -> dict[str, Any]:
-    """A deployment whose longest deadline is the given one."""
+    """Settings of a deployment with the given longest deadline (s)."""
     classes = [{**row, "aim": deadline / 4, "deadline": deadline} for row in harness.SETTINGS["classes"]]
     return {**harness.SETTINGS, "classes": classes}
 
 
 def server_script(request: bytes, writer: asyncio.StreamWriter) -> bytes | None:
-    """Answers by the request's id."""
+    """Answers a request according to its id."""
     if b"Id: warm" in request:
         return harness.OK
     if b"Id: begun" in request:
@@ -46,7 +46,7 @@
 
 @dataclass
 class SceneClient:
-    """One client's connection, and all that came over it."""
+    """A client connection and all that was received over it."""
 
     name: str
     reader: asyncio.StreamReader
@@ -58,7 +58,7 @@
     task: asyncio.Task[None] | None = None
 
     def start_reading(self) -> None:
-        """From now on what comes is taken down."""
+        """Receives in the background from now on."""
         self.task = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
@@ -73,19 +73,22 @@
         self.ended_at = loop.time()
 
     def is_complete(self) -> bool:
+        """Whether a complete answer has been received."""
         head, end, body = bytes(self.received).partition(b"\r\n\r\n")
         length = CONTENT_LENGTH.search(head)
         return bool(end) and length is not None and len(body) >= int(length[1])
 
     @property
     def status(self) -> int:
-        """Of its answer; 0 where there is none."""
+        """The status of the answer; 0 if there is none."""
         return int(self.received[9:12]) if self.received.startswith(b"HTTP/1.1 ") else 0
 
     def send(self, data: bytes) -> None:
+        """Sends raw data."""
         self.writer.write(data)
 
     async def wait_closed(self) -> None:
+        """Waits until the ingress has closed the connection."""
         assert self.task is not None
         await asyncio.wait_for(self.task, 20)
         self.writer.close()
@@ -93,20 +96,20 @@
 
 @dataclass
 class Termination:
-    """A process that has been sent SIGTERM."""
+    """A process that has been sent SIGTERM, and its clients."""
 
     ingress: harness.Ingress
-    terminated_at: float  # on the loop's clock
+    terminated_at: float  # loop time
     kill_at: float
     clients: dict[str, SceneClient] = field(default_factory=dict)
 
     async def wait_until(self, delay: float) -> None:
-        """So many seconds after SIGTERM."""
+        """Waits until `delay` seconds after SIGTERM."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(self.terminated_at + delay - loop.time())
 
     async def finish(self) -> None:
-        """SIGKILL at the earliest, then all that the clients still get."""
+        """Sends SIGKILL at the earliest moment, then waits until all clients have received what was sent."""
         loop = asyncio.get_running_loop()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, self.kill_at - loop.time())):
@@ -119,15 +122,15 @@
 
 
 class KillScene:
-    """An ingress with clients on connections that it has proven to hold."""
+    """An ingress with clients whose connections it has accepted."""
 
     def __init__(self, ingress: harness.Ingress, deadline: float, ingress_arguments: tuple[Any, ...]) -> None:
         self.ingress, self.deadline = ingress, deadline
-        self.ingress_arguments = ingress_arguments  # by which another process of the same ingress is started
+        self.ingress_arguments = ingress_arguments  # to start another process of the ingress
         self.clients: dict[str, SceneClient] = {}
 
     async def connect(self, *names: str) -> None:
-        """A connection for each name, over which one request was answered."""
+        """Opens a connection for each name and has one request answered on it."""
         for name in names:
             client = await self.open_client(name)
             client.send(harness.request("GET", "/stock-check", name=f"warm-{name}"))
@@ -135,16 +138,18 @@
             client.start_reading()
 
     async def open_client(self, name: str) -> SceneClient:
+        """Opens a connection without a request."""
         reader, writer = await asyncio.open_connection(*self.ingress.address)
         client = self.clients[name] = SceneClient(name, reader, writer)
         return client
 
     def send_request(self, name: str, headers: str = "", body: bytes = b"x") -> None:
-        """A request that must not run twice, whose client waits as long as the deployment lets it."""
+        """Sends a request that must not run twice, with the longest time left that the deployment allows."""
         data = harness.request("POST", "/place-order", body, headers, left=f"{self.deadline}", name=name)
         self.clients[name].send(data)
 
     def terminate(self) -> Termination:
+        """Sends SIGTERM to the ingress."""
         loop = asyncio.get_running_loop()
         self.ingress.process.send_signal(signal.SIGTERM)
         terminated_at = loop.time()
@@ -157,7 +162,7 @@
 async def scene(
     deadline: float, successor: bool, counter: harness.Script | None = None
 ) -> AsyncIterator[tuple[KillScene, Any]]:
-    """An ingress, and what starts its successor: a context manager, void where there is to be none."""
+    """Yields an ingress and a context manager that starts its successor (empty without `successor`)."""
     with socket.socket() as listener, tempfile.TemporaryDirectory() as folder:
         listener.bind(("127.0.0.1", 0))
         listener.listen(64)
--- a/tests/test_client_lines.py
+++ b/tests/test_client_lines.py
@@ -1,4 +1,4 @@
-"""Connections from clients: how long one may ask nothing, and who makes room when there are too many."""
+"""Client connections: how long one may be idle, and which are closed when there are too many."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def serve_new_client(rig: ReducerRig) -> int:
-    """A client that has asked and has its answer."""
+    """Connects a client and answers one request of it; returns its id."""
     rig.step(events.ClientConnected(rig.last_request_id + 1))
     client = rig.request(CHECK, account=1000 + rig.last_request_id)
     rig.answer_counter(total=1.0)
@@ -64,11 +64,11 @@
     rig.step(events.ClientDisconnected(902))
     rig.step(events.ClientConnected(904))
     rig.step(events.ClientConnected(905))
-    assert closed_clients(rig) == [901, kept], "the silent ones have only just come"
+    assert closed_clients(rig) == [901, kept], "the silent clients have only just connected"
 
 
 def test_at_the_limit_of_clients_that_have_just_connected_the_newest_is_closed() -> None:
-    # Guards those whose request is still on its way against the crowd behind them.
+    # The requests of those who connected earlier may still be on their way.
     rig = ReducerRig(max_clients=2)
     for client in (901, 902, 903):
         rig.step(events.ClientConnected(client))
@@ -82,7 +82,7 @@
     assert not any(a.close_connection for a in rig.answers)
     serve_new_client(rig)
     assert rig.answers[-1].close_connection
-    # One that is used again is left alone.
+    # A connection that is used again is kept.
     rig.last_request_id = 0
     rig.request(CHECK, account=2000)
     rig.answer_counter(total=1.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes on one listening socket: nothing is turned back, and what staff said holds over both."""
+"""Two processes on one listening socket: no request is lost, bans hold for both, state is handed over."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
     assert rig.answers[-1].close_connection
     rig.step(events.ClientDisconnected(1))
-    assert effects.Exit() not in rig.effects  # the other client may still ask
+    assert effects.Exit() not in rig.effects  # the other client may still send a request
     rig.step(events.ClientDisconnected(2))
     assert effects.Exit() in rig.effects
 
@@ -67,7 +67,7 @@
                 answers: list[bytes] = []
 
                 async def client(me: int) -> None:
-                    """Asks over a kept connection, as long as that is left open."""
+                    """Sends requests over a kept connection; opens a new one when it is closed."""
                     n, reader, writer = 0, None, None
                     while not stopped:
                         if writer is None:
@@ -88,7 +88,7 @@
                     server_address, counter_address, list_address, listener, scratch
                 ) as new:
                     assert (await new.call(b"stats\n")).find(b"skipped_backends=1") > 0
-                    for process in (old, new):  # a new configuration in the overlap, at either
+                    for process in (old, new):  # both are reconfigured while both run
                         await process.reconfigure()
                     old.process.send_signal(signal.SIGTERM)
                     assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
@@ -146,7 +146,7 @@
     assert record.decode(encoded, stepped) == record.ReceivedSnapshot({"a": 1}, timedelta(seconds=-step))
     old = record.ClockReading(START + timedelta(seconds=6 + step), CLOCKS.monotonic + timedelta(seconds=6))
     assert record.decode(encoded, old) is None
-    # What the version before wrote tells no more than the wall clock does.
+    # The previous version wrote no monotonic clock: the age follows from the wall clock.
     body = b'{"a":1}'
     head = f"{record.TITLE} {len(body)} {(START - record.EPOCH) // record.MICROSECOND} "
     previous_format = f"{head}{hashlib.sha256(body).hexdigest()}\n".encode() + body
@@ -189,7 +189,7 @@
 
         dead = socket.socket(socket.AF_UNIX)
         dead.bind(str(tmp_path / SOCKET_NAME))
-        dead.close()  # a leftover: nobody listens there
+        dead.close()  # left over: nobody listens on it
         old, new, third = link("old"), link("new"), link("third")
         await old.start()
         assert not reported["old"]
@@ -202,7 +202,7 @@
             await asyncio.sleep(0.001)
         await third.start()  # a second upgrade
         assert events.SnapshotReceived({"from": "new"}) in reported["third"]
-        third.close()  # which never becomes ready
+        third.close()  # it never becomes ready
         await until("new", events.ProcessCountChanged(1))
         new.close()
         assert not log
@@ -231,7 +231,7 @@
         await new.start()
         assert not [e for e in new_reported if isinstance(e, events.SnapshotReceived)]
         assert len(log) == 1 and log[0].startswith("handover: ")
-        # Two processes of one ingress share its part of the limits, whatever they work by; others do not.
+        # Processes of one ingress share its part of the limits, even with different settings; others do not.
         assert new_reported[-1] == events.ProcessCountChanged(2 if same_ingress else 1)
         if same_ingress:
             while events.ProcessCountChanged(2) not in old_reported:
@@ -240,7 +240,9 @@
             while old.callers:
                 await asyncio.sleep(0)
             assert events.ProcessCountChanged(2) not in old_reported
-            assert new.server is None and (tmp_path / SOCKET_NAME).exists(), "the other's place is left to it"
+            assert new.server is None and (tmp_path / SOCKET_NAME).exists(), (
+                "the socket of the other ingress is left alone"
+            )
         new.close()
         old.close()
 
--- a/tests/test_kill.py
+++ b/tests/test_kill.py
@@ -1,7 +1,7 @@
-"""SIGKILL at the earliest moment that the platform allows: every request that was read has had its answer.
+"""SIGKILL at the earliest moment that the platform allows: by then, every request that was read is answered.
 
-Real processes over loopback. The platform sends SIGKILL no sooner after SIGTERM than the deployment's longest
-deadline, counted as 3 s at most, and 0.7 s.
+Real processes over loopback. The platform waits between SIGTERM and SIGKILL for the deployment's longest
+deadline, but at most 3 s, and another 0.7 s.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from tests import harness
 from tests.kill_scene import BUFFERED_SIZE, STREAMED_SIZE, scene
 
-LATE_REQUEST_DELAY = 0.9  # s after SIGTERM: a request that comes then may wait beyond the kill
-FAILURE_STATUSES = (502, 504)  # what may have run is not called refused
+LATE_REQUEST_DELAY = 0.9  # s after SIGTERM: the deadline of a request that arrives then is after the kill
+FAILURE_STATUSES = (502, 504)  # a request that may have run is not answered as refused
 
 
 def test_a_request_read_after_the_start_of_an_upgrade_is_answered_before_the_kill() -> None:
     async def scenario() -> None:
         async with scene(3.0, successor=True) as (running, second):
-            # While the old process is alone, so that it is the one that has the connection.
+            # Before the new process starts, so that the old one accepts the connection.
             await running.connect("late")
             async with second:
                 termination = running.terminate()
@@ -73,11 +73,11 @@
             assert client.complete_at is not None and client.complete_at < termination.kill_at, name
             assert client.status in (*FAILURE_STATUSES, 408), name
         streamed = clients["streamed"]
-        assert streamed.status == 200 and len(streamed.received) < STREAMED_SIZE, "it looks whole"
+        assert streamed.status == 200 and len(streamed.received) < STREAMED_SIZE, "it looks complete"
         for name in ("half-head", "silent", "streamed"):
             ended = clients[name].ended_at
-            assert ended is not None and ended < termination.kill_at, f"{name}: left to the kill"
-        # Its connection had ended before it was written, so that its client knows that it was not taken.
+            assert ended is not None and ended < termination.kill_at, f"{name}: open until the kill"
+        # Its connection was closed before the request was sent, so the client knows that it was not read.
         last = clients["last"].ended_at
         assert last is not None and last < termination.kill_at - 0.05
 
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -1,4 +1,4 @@
-"""One outgoing connection on a real socket: what its end tells, and that it ends at once."""
+"""One upstream connection on a real socket: what it reports, and that it closes at once."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     ) -> None:
         connection.close()
         peer.settimeout(5)
-        assert peer.recv(1) == b""  # no await since: a further attempt could not have been written yet
+        assert peer.recv(1) == b""  # no await since then: no other attempt could have been sent yet
         await asyncio.sleep(0.01)
         assert not reported
 
@@ -138,7 +138,7 @@
     ) -> None:
         connection.send(b"GET / HTTP/1.1\r\n\r\n")
         peer.setblocking(False)
-        with contextlib.suppress(OSError):  # the line may end before it has all
+        with contextlib.suppress(OSError):  # the connection may be closed before all is sent
             await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(peer, answer), 30)
         await asyncio.wait_for(wait_for_event(reported), 30)
         assert reported[-1] == events.ConnectionLost(1, events.Progress.ANSWERING)
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("unsolicited", [GOOD_ANSWER, b""], ids=["a second copy", "the end"])
 def test_unsolicited_data_is_seen_before_anything_is_written(unsolicited: bytes) -> None:
-    # Guards the time between the other side's word and the loop's: no await lies between them here.
+    # The data has arrived, but the loop has not reported it yet: there is no await in between.
     async def scenario(
         connection: UpstreamConnection, peer: socket.socket, reported: list[events.Event]
     ) -> None:
@@ -202,7 +202,7 @@
 
 
 def test_a_collected_connection_closes_no_descriptor_of_the_loop() -> None:
-    # Guards other connections: a descriptor closed behind the loop's back is soon another connection's.
+    # A descriptor that is closed without the loop's knowledge is soon reused by another connection.
     async def scenario(
         connection: UpstreamConnection, peer: socket.socket, reported: list[events.Event]
     ) -> None:
@@ -211,6 +211,6 @@
         await wait_for_event(reported)
         assert not connection._is_stale()
         kept = [v for v in vars(connection).values() if isinstance(v, socket.socket)]
-        assert not kept, "nothing of the loop's is held between looks"
+        assert not kept, "a socket of the loop is kept between checks"
 
     run_with_connection(scenario)
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Long and slow bodies both ways, over real sockets: what passes, what it may cost, and how it may end."""
+"""Long and slow bodies in both directions, over real sockets: what is streamed, its cost, and how it ends."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @contextlib.asynccontextmanager
 async def ingress_with(script: ServerScript) -> AsyncIterator[harness.Ingress]:
-    """An ingress before one stock node that speaks as `talk` says, a connection at a time."""
+    """An ingress in front of one server, which runs `script` on each connection."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -41,7 +41,7 @@
 
 
 def repeat_answer(*parts: bytes, close: bool = False) -> ServerScript:
-    """A stock node that gives each request the same answer, part by part."""
+    """A server script that gives each request the same answer, part by part."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -57,7 +57,7 @@
 
 
 def peak_memory(ingress: harness.Ingress) -> int:
-    """Bytes that the program has needed at most."""
+    """The peak resident memory of the program, in bytes."""
     lines = Path(f"/proc/{ingress.process.pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmHWM")).split()[1]) * 1024
 
@@ -133,7 +133,7 @@
             for n in range(6):
                 asked = harness.request("GET", f"/stock-check/long/{n}", name=f"l{n}")
                 long.append(await send_request(ingress, asked))
-                await long[-1][0].readuntil(b"\r\n\r\n")  # it flows, and is not read on
+                await long[-1][0].readuntil(b"\r\n\r\n")  # it is being streamed, and is not read any further
             for n in range(20):
                 answer = await ingress.raw(harness.request("GET", "/stock-check", name=f"s{n}"))
                 assert answer.endswith(b"done")
@@ -143,7 +143,7 @@
                 for _ in range(32):
                     assert await asyncio.wait_for(reader.readexactly(MB), 60) == block
                 writer.close()
-            assert peak_memory(ingress) - before < 24 * MB  # of 192 MB that passed
+            assert peak_memory(ingress) - before < 24 * MB  # of 192 MB that were streamed
             assert b"in_progress=0\n" in await ingress.call(b"stats\n")
 
     asyncio.run(scenario())
@@ -231,7 +231,7 @@
 
 
 class TestReducer:
-    """What the reducer hears of long and slow bodies: beginnings, stalls and ends."""
+    """How the reducer handles long and slow bodies: their start, stalls and end."""
 
     def start_streamed_request(self, rig: ReducerRig) -> int:
         rig.last_request_id += 1
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""The record of what a process did last: asked for, written on a signal, and bounded."""
+"""The record of the last events and effects: bounded, returned on request and written on a signal."""
 
 from __future__ import annotations
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The program on real sockets: what passes unchanged, what is answered to whom, and how it ends."""
+"""The program on real sockets: what is forwarded unchanged, how requests are answered, how it exits."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def test_a_request_on_a_kept_connection_that_dies_is_not_resent_by_itself() -> None:
-    # Guards against a client library's own resending: a place-order could run twice, unseen by the decisions.
+    # If the HTTP client resent requests by itself, a place-order could run twice without being counted.
     served = 0
 
     def server(_: bytes, writer: asyncio.StreamWriter) -> bytes | None:
@@ -73,7 +73,7 @@
     async def scenario() -> None:
         async with running_ingress(server) as (ingress, servers, _):
             assert status(await ingress.ask("POST", "/place-order")) == 200
-            await asyncio.sleep(2 * REUSE_DELAY)  # at least: until the connection may be used again
+            await asyncio.sleep(2 * REUSE_DELAY)  # at least until the connection may be reused
             assert status(await ingress.ask("POST", "/place-order")) == 502
             assert servers.connections == 1
             assert len(servers.requests) == 2
@@ -104,7 +104,7 @@
 
 
 def test_rejected_counter_calls_refuse_no_request() -> None:
-    # The counter turns every call away until a run begins: that is no reason to be unready or to refuse.
+    # The counter rejects every call until a run begins; the ingress is ready and serves all the same.
     rejection = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
     async def scenario() -> None:
@@ -116,7 +116,7 @@
 
 
 def test_a_new_configuration_moves_counter_and_server_list_and_stops_nothing() -> None:
-    # Guards against ending on SIGHUP, and against going on with addresses that are left.
+    # SIGHUP must neither end the process nor leave it with the old addresses.
     async def scenario() -> None:
         async with (
             running_ingress(lambda r, w: harness.OK) as (ingress, _, counter_log),
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("leaving", [False, True])
 def test_a_request_that_has_been_read_is_not_lost_when_idle_connections_are_closed(leaving: bool) -> None:
-    # Guards the turns of the loop between a request's last byte and its order: the reducer does not know yet.
+    # Between a request's last byte and its event, the reducer does not know of it for some loop iterations.
     async def scenario() -> None:
         seen: list[events.Event] = []
         clients = Clients(
@@ -202,28 +202,34 @@
 
 
 BAD_REQUESTS = {
-    "an unknown kind": (harness.request("GET", "/nothing"), 404),
+    "an unknown class": (harness.request("GET", "/nothing"), 404),
     "another method": (harness.request("GET", "/place-order"), 400),
-    "time that is none": (harness.request("GET", "/stock-check", left="soon"), 400),
-    "time that is over": (harness.request("GET", "/stock-check", left="-1"), 400),
-    "time without end": (harness.request("GET", "/stock-check", left="inf"), 400),
+    "unreadable time": (harness.request("GET", "/stock-check", left="soon"), 400),
+    "negative time": (harness.request("GET", "/stock-check", left="-1"), 400),
+    "infinite time": (harness.request("GET", "/stock-check", left="inf"), 400),
     "no headers": (b"GET /stock-check HTTP/1.1\r\nHost: x\r\n\r\n", 400),
-    "an unknown tariff": (harness.request("GET", "/stock-check").replace(b"negoce", b"gratis"), 400),
-    "an account that is none": (harness.request("GET", "/stock-check").replace(b"b4d6", b"zzzz"), 400),
-    "units that are none": (harness.request("GET", "/stock-check").replace(b"units=2", b"units=nan"), 400),
-    "spread that is none": (harness.request("GET", "/stock-check").replace(b"spread=2", b"spread=inf"), 400),
+    "an unknown plan": (harness.request("GET", "/stock-check").replace(b"negoce", b"gratis"), 400),
+    "an unreadable account": (harness.request("GET", "/stock-check").replace(b"b4d6", b"zzzz"), 400),
+    "units that are no number": (
+        harness.request("GET", "/stock-check").replace(b"units=2", b"units=nan"),
+        400,
+    ),
+    "infinite spread": (harness.request("GET", "/stock-check").replace(b"spread=2", b"spread=inf"), 400),
     "too many units": (harness.request("GET", "/stock-check").replace(b"units=2", b"units=4"), 400),
     "no units": (harness.request("GET", "/stock-check").replace(b"units=2", b"units=0"), 400),
     "units in other digits": (harness.request("GET", "/stock-check").replace(b"units=2", b"units=1_0"), 400),
-    "a set too wide": (harness.request("GET", "/stock-check").replace(b"spread=2", b"spread=3"), 400),
-    "a set from nowhere": (harness.request("GET", "/stock-check").replace(b"first=0", b"first=2"), 400),
+    "too many ingresses": (harness.request("GET", "/stock-check").replace(b"spread=2", b"spread=3"), 400),
+    "a first ingress out of range": (
+        harness.request("GET", "/stock-check").replace(b"first=0", b"first=2"),
+        400,
+    ),
     "no terms": (harness.request("GET", "/stock-check").replace(b"X-Call-Terms", b"X-Other"), 400),
     "no id": (harness.request("GET", "/stock-check", name=""), 400),
-    "a body where there is none": (harness.request("GET", "/stock-check", b"abc"), 400),
+    "a body in a GET request": (harness.request("GET", "/stock-check", b"abc"), 400),
     "a length and chunks": (harness.request("POST", "/place-order", b"abc", CHUNKED_HEADER), 400),
     "a negative length": (harness.request("POST", "/place-order", more="Content-Length: -1\r\n"), 400),
     "no HTTP": (b"\x16\x03\x01 what is this\r\n\r\n", 400),
-    "far too much to send": (
+    "a body that is far too long": (
         harness.request("POST", "/place-order", more="Content-Length: 60000000\r\n"),
         413,
     ),
@@ -334,7 +340,7 @@
             assert b"drain" in await ingress.process.stderr.readline()
             late = await ingress.ask("GET", "/stock-check")
             assert status(late) == 200 and b"connection: close" in late.lower()
-            assert await idle_reader.read() == b""  # closed by the ingress, with nothing on it
+            assert await idle_reader.read() == b""  # closed by the ingress without an answer
             idle_writer.close()
             release.set()
             assert status(await slow) == 200
@@ -344,7 +350,7 @@
 
 
 def test_repeated_signals_end_the_ingress_once_and_its_client_is_answered() -> None:
-    # The stock node hangs, so that the order has nothing left but its time; SIGTERM comes twice, and SIGHUP.
+    # The server hangs, so that the request is answered at its deadline; SIGTERM and SIGHUP arrive twice each.
     async def scenario() -> None:
         async with running_ingress(harness.silent) as (ingress, servers, _):
             held = asyncio.create_task(ingress.raw(harness.request("POST", "/place-order", left="1.0")))
@@ -364,7 +370,7 @@
 
 
 def test_a_start_needs_neither_the_server_list_nor_the_counter() -> None:
-    # Guards a whole deployment that starts at once while discovery is down.
+    # A whole deployment may start at once while discovery is down.
     async def scenario() -> None:
         async with harness.party(lambda r, w: harness.OK) as (server, _):
             nobody = f"127.0.0.1:{harness.free_port()}"
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail as Linux documents, in the program's own process: it serves on and loses nothing."""
+"""System calls of the program fail as Linux documents: it goes on serving and loses no request."""
 
 from __future__ import annotations
 
@@ -26,26 +26,29 @@
 
 @dataclass
 class Scene:
+    """An ingress whose system calls can be made to fail, and its server."""
+
     ingress: harness.Ingress
     shim: Shim
     server: harness.Seen
 
     def cpu_seconds(self) -> float:
-        """What the process has used of the processor so far."""
+        """CPU time that the process has used so far."""
         stat_fields = Path(f"/proc/{self.ingress.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
         return (int(stat_fields[11]) + int(stat_fields[12])) / os.sysconf("SC_CLK_TCK")
 
     async def wait_for_fault(self, fault: str, least: int = 1) -> None:
-        """The fault has reached the program."""
+        """Waits until the fault has been injected `least` times."""
         async with asyncio.timeout(ANSWER_TIMEOUT):
             while self.shim.given(fault) < least:
                 await asyncio.sleep(0.005)
 
     async def send_check(self, name: str) -> int:
+        """Sends a repeatable request; returns the status of its answer."""
         return await self._status(harness.request("GET", "/stock-check", name=name))
 
     async def send_place(self, name: str) -> int:
-        """For a client that waits as long as the deployment lets it."""
+        """Sends a request that must not run twice, with the longest time left that the deployment allows."""
         return await self._status(harness.request("POST", "/place-order", b"x", left="3.0", name=name))
 
     async def _status(self, request: bytes) -> int:
@@ -90,7 +93,7 @@
 
 
 def test_a_request_that_waited_to_be_accepted_is_forwarded_with_the_time_left(tmp_path: Path) -> None:
-    # The soak's seed 223: requests that lay 0.25 s in the accept queue were sent on with all of their time.
+    # Soak seed 223: requests that had waited 0.25 s in the accept queue were forwarded with all their time.
     async def scenario() -> None:
         async with scene(tmp_path) as running:
             running.shim.give("accept", errno.EMFILE)
@@ -106,13 +109,13 @@
             await running.wait_for_fault("accept", 6)
             await asyncio.sleep(0.3)
             running.shim.stop("accept")
-            await asyncio.sleep(0.1)  # it is accepted, and asks only now
+            await asyncio.sleep(0.1)  # it is accepted and sends its request only now
             writer.write(harness.request("GET", "/stock-check", name="asks-late"))
             assert b" 200 " in await asyncio.wait_for(harness.read_request(reader), ANSWER_TIMEOUT)
             writer.close()
             times_left = [float(TIME_LEFT.search(request)[1]) for request in running.server.requests]  # type: ignore[index]
             assert times_left[0] <= 1.0 - waited + 0.15, (
-                "it has been sent on with time that its client has not"
+                "it was forwarded with time that its client does not have"
             )
             assert min(times_left[1:]) > 0.9
 
@@ -145,7 +148,7 @@
             waiting = asyncio.create_task(running.send_place("waits"))
             await running.wait_for_fault("accept", 3)
             running.ingress.process.send_signal(signal.SIGTERM)
-            await asyncio.sleep(1.0)  # past the time in which it accepts
+            await asyncio.sleep(1.0)  # past the time in which it accepts connections
             running.shim.stop("accept")
             assert await waiting == 200
             assert await asyncio.wait_for(running.ingress.process.wait(), ANSWER_TIMEOUT) == 0
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -1,4 +1,4 @@
-"""An upgrade that goes wrong: who connects to the shared socket is answered as long as one process lives."""
+"""Upgrades that fail: clients of the shared socket are answered as long as one process lives."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
 
 
 async def wait_for_record(ingress: harness.Ingress, text: bytes) -> None:
-    """Until a process's record holds these words."""
+    """Waits until the record of a process contains a text."""
     async with asyncio.timeout(20):
         while text not in await ingress.call(b"record\n"):
             await asyncio.sleep(0.01)
 
 
 async def new_client_status(running: KillScene) -> int:
+    """The status of the answer to a new client."""
     client = await running.open_client("warm-new")
     client.start_reading()
     running.send_request("warm-new")
@@ -41,7 +42,7 @@
 def test_the_old_process_accepts_again_when_the_new_one_dies() -> None:
     async def scenario() -> None:
         async with scene(3.0, successor=True) as (running, second):
-            await running.connect("kept")  # by which the old process stays
+            await running.connect("kept")  # keeps the old process from exiting
             async with second as new:
                 termination = running.terminate()
                 await wait_for_record(running.ingress, STOPPED_ACCEPTING)
@@ -73,7 +74,7 @@
     async def scenario() -> None:
         async with scene(3.0, successor=True) as (running, _):
             await running.connect("kept")
-            # One that hangs behind its first line: it is there, and does not serve.
+            # A process that hangs after its hello: it is connected and does not serve.
             _, hanging = await asyncio.open_unix_connection(Path(running.ingress_arguments[4]) / SOCKET_NAME)
             hanging.write(record.encode_hello(record.Identity.of("n0", "hangs")))
             await wait_for_record(running.ingress, b"2 processes of this ingress")
@@ -90,7 +91,7 @@
     async def scenario() -> None:
         async with scene(3.0, successor=True) as (running, second), second as new:
             folder = Path(running.ingress_arguments[4])
-            (folder / "opalgauge.marks.new").mkdir()  # it cannot be written while this stands here
+            (folder / "opalgauge.marks.new").mkdir()  # the ban file cannot be written while this exists
             assert (await running.ingress.call(b"maint-on s-1\n")).startswith(b"200")
             async with asyncio.timeout(20):
                 while b"skipped_backends=1" not in await new.call(b"stats\n"):
@@ -172,7 +173,7 @@
 
 
 def test_sending_to_a_process_that_has_just_ended_does_no_harm(tmp_path: Path) -> None:
-    # The soak found it: a start that was told nothing raised when it said that it serves, and crashed.
+    # Found by the soak test: a new process that had received nothing crashed when it sent that it serves.
     async def scenario() -> None:
         gone = asyncio.Event()
 
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -1,4 +1,4 @@
-"""What is written to the parties and what is read from them, word by word."""
+"""The texts sent to servers, counter and discovery, and how their answers and the settings are read."""
 
 from __future__ import annotations
 
@@ -124,7 +124,7 @@
 def test_counter_answers(answer: Reply, end: interface.End, total: float) -> None:
     event = quota_counter.parse_total(1, answer)
     assert (event.end, event.total) == (end, total)
-    # Where it cannot be read the connection is of no further use, whatever its headers say.
+    # After an unreadable answer the connection is not kept, whatever its headers say.
     assert event.keep_alive is (end is not interface.End.ERROR)
 
 
@@ -183,7 +183,7 @@
 
 
 def test_the_response_parser_is_the_compiled_one() -> None:
-    # Guards the hot path: without its extension aiohttp falls back to a parser many times slower.
+    # Without its extension, aiohttp falls back to a parser that is many times slower.
     assert HttpResponseParser.__module__ == "aiohttp._http_parser"
 
 
@@ -277,7 +277,7 @@
 @given(DEPLOYMENTS)
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
 def test_decisions_use_what_this_deployment_configures_and_nothing_else(deployment: dict[str, Any]) -> None:
-    # Guards each deployment against the figures of another, and against defaults in place of what it says.
+    # Neither the values of another deployment nor defaults may take the place of what is configured.
     config = make_config(make_config_content(settings=deployment), {})
     settings = config.house.settings
     domain, ceilings, rules = deployment["domain"], deployment["ceilings"], deployment["invariants"]
