--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped by an hour, folders cannot be written: spans stay spans, what is owed is kept."""
+"""Faults of the machine: the wall clock is stepped by an hour, the disk is full, nobody reads the log."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 import pytest
 
-from opalgauge.console import bans
-from opalgauge.console.ban_file import NAME, NEW
+from opalgauge.console import ban_record
+from opalgauge.console.ban_file import FILE_NAME, TEMP_NAME
 from tests import harness
 from tests.shim import Shim
 
@@ -24,13 +24,13 @@
 
 
 def window_names(counter: harness.Seen) -> set[bytes]:
-    """The names of the windows that were charged."""
+    """The counter names that were charged; each stands for one window."""
     return {request.split(b" ")[1].partition(b"?")[0] for request in counter.requests if b"by=2" in request}
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
 def test_an_upgrade_over_a_stepped_clock_keeps_windows_and_bans(step: int) -> None:
-    # A window of this quota is 5 s long, so that the charges of both processes fall into two at most.
+    # A window of this quota is 5 s long, so both processes together charge two at most.
     async def scenario() -> None:
         with socket.socket() as listener, tempfile.TemporaryDirectory() as scratch:
             listener.bind(("127.0.0.1", 0))
@@ -58,7 +58,7 @@
                     assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
                     assert b" 200 " in await new.ask("GET", "/stock-check")
                 assert shim.given("wall_clock") > 0
-                assert 1 <= len(window_names(counter)) <= 3, "an hour lies between the windows of the two"
+                assert 1 <= len(window_names(counter)) <= 3, "the two processes charge windows an hour apart"
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
@@ -107,7 +107,7 @@
                     shim.give("folder", errno.ENOSPC)
                     assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
                     assert shim.given("folder") > 0
-                    kept = Path(scratch) / NAME
+                    kept = Path(scratch) / FILE_NAME
                     assert not kept.exists()
                     async with harness.ingress(
                         server_address, counter_address, list_address, listener, scratch, environ=shim.environ
@@ -117,8 +117,10 @@
                         async with asyncio.timeout(20):
                             while not kept.exists():
                                 await asyncio.sleep(0.02)
-                        told = bans.read(kept.read_bytes())
-                        assert told is not None and [(name, out) for name, out, _ in told] == [("s-1", True)]
+                        file_bans = ban_record.decode(kept.read_bytes())
+                        assert file_bans is not None and [(name, out) for name, out, _ in file_bans] == [
+                            ("s-1", True)
+                        ]
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
@@ -126,8 +128,8 @@
 def test_a_restart_over_a_truncated_ban_file_serves_and_keeps_new_bans() -> None:
     async def scenario() -> None:
         with tempfile.TemporaryDirectory() as scratch:
-            (Path(scratch) / NAME).write_bytes(b"opalgauge-marks-1 400 ab")
-            (Path(scratch) / NEW).write_bytes(b"opalgau")
+            (Path(scratch) / FILE_NAME).write_bytes(b"opalgauge-marks-1 400 ab")
+            (Path(scratch) / TEMP_NAME).write_bytes(b"opalgau")
             async with (
                 harness.party(ok) as (server_address, _),
                 harness.party(harness.counter()) as (counter_address, _),
@@ -136,8 +138,8 @@
             ):
                 assert b" 200 " in await ingress.ask("GET", "/stock-check")
                 assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")
-                told = bans.read((Path(scratch) / NAME).read_bytes())
-                assert told is not None and told[0][:2] == ("s-1", True)
+                file_bans = ban_record.decode((Path(scratch) / FILE_NAME).read_bytes())
+                assert file_bans is not None and file_bans[0][:2] == ("s-1", True)
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
@@ -150,11 +152,11 @@
             harness.party(harness.silent) as (list_address, _),
             harness.ingress(server_address, counter_address, list_address) as ingress,
         ):
-            # The reading end of its standard error is closed: each line written there fails from now on.
+            # Closes the reading end of its standard error: writing a log line fails from now on.
             transport = ingress.process._transport.get_pipe_transport(2)  # type: ignore[attr-defined]
             transport.close()
             await asyncio.sleep(0)
-            assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")  # writes a line
+            assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")  # writes a log line
             assert (await ingress.call(b"maint-off s-1\n")).startswith(b"200")
             assert b" 200 " in await ingress.ask("GET", "/stock-check")
             ingress.process.send_signal(signal.SIGTERM)
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -11,7 +11,7 @@
 from opalgauge.memory import effects, events
 from opalgauge.wire.recorder import ENTRY_FORMATS, MAX_ENTRIES, Recorder
 from tests import harness
-from tests.crossing import run_scene, scene
+from tests.race_rig import run_scene, scene
 from tests.reducer_rig import PLACE, START, ReducerRig
 
 
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -166,10 +166,10 @@
 
 def test_a_configuration_becomes_the_ingress_config() -> None:
     config = make_config(make_config_content(), {})
-    assert config.house.settings.classes[1].idempotency is interface.Idempotency.UNSAFE
-    assert config.house.server_idle_timeout < timedelta(seconds=15)
-    assert config.house.known_list_version == 41 and len(config.house.known_servers) == 1
-    assert config.house.max_server_connections + config.house.max_requests < 1024
+    assert config.ingress.settings.classes[1].idempotency is interface.Idempotency.UNSAFE
+    assert config.ingress.server_idle_timeout < timedelta(seconds=15)
+    assert config.ingress.known_list_version == 41 and len(config.ingress.known_servers) == 1
+    assert config.ingress.max_server_connections + config.ingress.max_requests < 1024
     assert config.trade.classes == {"stock-check": (0, "GET"), "place-order": (1, "POST")}
 
 
@@ -279,7 +279,7 @@
 def test_decisions_use_what_this_deployment_configures_and_nothing_else(deployment: dict[str, Any]) -> None:
     # Neither the values of another deployment nor defaults may take the place of what is configured.
     config = make_config(make_config_content(settings=deployment), {})
-    settings = config.house.settings
+    settings = config.ingress.settings
     domain, ceilings, rules = deployment["domain"], deployment["ceilings"], deployment["invariants"]
     assert (settings.gateways, settings.gateway_index, settings.zone, settings.tick) == (
         deployment["balancers"],
@@ -335,7 +335,7 @@
     assert settings.list_on_request is (deployment["discovery"] == "on_request")
     assert config.zones == tuple(deployment["zones"])
     assert settings.idle_timeout < ceilings["conn_idle"]
-    assert config.house.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
+    assert config.ingress.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
     assert config.trade.classes == {
         c["name"]: (n, "GET" if c["effect"] == "retryable" else "POST")
         for n, c in enumerate(deployment["classes"])
