--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -216,9 +216,9 @@
 }
 
 
-@pytest.mark.parametrize("case", OTHER_PROCESSES)
-def test_the_snapshot_of_another_ingress_or_other_settings_is_not_used(case: str, tmp_path: Path) -> None:
-    other, same_ingress = OTHER_PROCESSES[case]
+@pytest.mark.parametrize("stranger", OTHER_PROCESSES)
+def test_the_snapshot_of_another_ingress_or_other_settings_is_not_used(stranger: str, tmp_path: Path) -> None:
+    other, same_ingress = OTHER_PROCESSES[stranger]
 
     async def scenario() -> None:
         old_reported, new_reported, log = list[events.Event](), list[events.Event](), list[str]()
--- a/tests/test_line.py
+++ b/tests/test_upstream.py
@@ -157,8 +157,8 @@
     run_with_connection(scenario)
 
 
-@pytest.mark.parametrize("unsolicited", [GOOD_ANSWER, b""], ids=["a second copy", "the end"])
-def test_unsolicited_data_is_seen_before_anything_is_written(unsolicited: bytes) -> None:
+@pytest.mark.parametrize("unasked", [GOOD_ANSWER, b""], ids=["a second copy", "the end"])
+def test_unsolicited_data_is_seen_before_anything_is_written(unasked: bytes) -> None:
     # The data has arrived, but the loop has not reported it yet: there is no await in between.
     async def scenario(
         connection: UpstreamConnection, peer: socket.socket, reported: list[events.Event]
@@ -168,8 +168,8 @@
         await wait_for_event(reported)
         assert isinstance(reported.pop(), events.ServerAnswered)
         peer.recv(100)
-        if unsolicited:
-            peer.sendall(unsolicited)
+        if unasked:
+            peer.sendall(unasked)
         else:
             peer.shutdown(socket.SHUT_WR)
         connection.send(b"GET / HTTP/1.1\r\n\r\n")
