--- a/opalgauge/handover/record.py
+++ b/opalgauge/handover/record.py
@@ -116,6 +116,7 @@
                 if timedelta(0) <= age <= MAX_AGE
                 else None
             )
+        # A record of an earlier version tells the wall clock only.
         age = clocks.wall_clock - (EPOCH + MICROSECOND * int(written))
         return ReceivedSnapshot(snapshot, timedelta(0)) if abs(age) <= MAX_AGE else None
     except (ValueError, TypeError, IndexError, OverflowError):
--- a/opalgauge/wire/clients.py
+++ b/opalgauge/wire/clients.py
@@ -438,7 +438,7 @@
         return self.client_ids.get(connection) if disconnected else None
 
     def abort(self, client_id: int) -> None:
-        """Resets a connection in the middle of an answer."""
+        """Aborts a connection in the middle of an answer."""
         connection = self.connections.get(client_id)
         if connection is not None and connection.transport is not None:
             connection.transport.abort()
@@ -581,8 +581,8 @@
     ) -> web.StreamResponse:
         """Streams a long answer from its server to its client, at the pace of the slower one.
 
-        Only a part of it is in memory. If the answer breaks off, the connection is reset, so that the client
-        can tell.
+        Only a part of it is in memory. If the answer breaks off, the connection is aborted, so that the
+        client can tell.
         """
         response = web.StreamResponse(status=effect.status)
         if effect.content_type:
--- a/opalgauge/wire/listener.py
+++ b/opalgauge/wire/listener.py
@@ -47,9 +47,8 @@
         inherited: bool = False,
     ) -> None:
         self.listen_socket, self.on_accepted = listen_socket, on_accepted
-        self.not_accepting_since = (
-            -math.inf if inherited else math.inf
-        )  # loop time since which nobody has accepted
+        # Loop time since which nobody has accepted; infinite while connections are accepted.
+        self.not_accepting_since = -math.inf if inherited else math.inf
         self.listen_socket.setblocking(False)
         self.loop = asyncio.get_running_loop()
         self.closed = self.closing = self.suspended = False
