--- a/tests/test_races_server_list.py
+++ b/tests/test_races_server_list.py
@@ -39,7 +39,7 @@
 
 
 async def wait_for_drips(protocol: UpstreamConnection, count: int) -> None:
-    await wait_until(lambda: protocol.closed or protocol.received.endswith(b" " * count))
+    await wait_until(lambda: protocol.closed or protocol.incomplete_data.endswith(b" " * count))
 
 
 async def wait_until_closed(running: Scene, connection_id: int) -> None:
@@ -82,7 +82,11 @@
             if received:
                 protocol = running.runtime.connections[running.state.list_connection_id]
                 await wait_until(
-                    lambda: len(protocol.received) >= received or protocol.partial or beginning == "only 1xx"
+                    lambda: (
+                        len(protocol.incomplete_data) >= received
+                        or protocol.was_partial
+                        or beginning == "only 1xx"
+                    )
                 )
             running.pass_time(timedelta(seconds=wait) + 500 * MS)
             running.pass_time(150 * MS)
@@ -271,7 +275,7 @@
                 body = json.dumps({"seq": 8, "whole": True, "hosts": [running.list_entry(0)]}).encode()
                 list_connection.send(ok_response(body)[:-5])
                 protocol = running.runtime.connections[running.state.list_connection_id]
-                await wait_until(lambda: protocol.received)
+                await wait_until(lambda: protocol.incomplete_data)
             elif state == "down":
                 assert running.server_list.server is not None
                 running.server_list.server.close()
