--- a/opalgauge/lab/lease_simulation.py
+++ b/opalgauge/lab/lease_simulation.py
@@ -21,8 +21,8 @@
 )
 from opalgauge.lab.simulation import EPOCH, Simulation
 from opalgauge.leases import messages
-from opalgauge.leases.actions import CallCounter, SendMessage, TellTotal
-from opalgauge.leases.holder import Leases, Rules
+from opalgauge.leases.actions import AnswerCount, CallCounter, SendMessage
+from opalgauge.leases.holder import LeaseConfig, LeaseHolder
 from starlinggap import Gateway, interface
 
 TICK_INTERVAL, COUNTER_TIMEOUT, SERVICE_TIME = 0.02, 0.05, 0.05
@@ -108,14 +108,14 @@
         )
         return gateway
 
-    def _make_leases(self, ingress: int) -> Leases | None:
+    def _make_leases(self, ingress: int) -> LeaseHolder | None:
         if self.scenario.mode == "today":
             return None
         plans = tuple((plan.rate, plan.burst) for plan in self.gateway_plans)
-        rules = Rules(
+        config = LeaseConfig(
             ingress, self.scenario.ingresses, plans, self.scenario.mode != "even", self.scenario.mode == "on"
         )
-        return Leases(rules, self._wall_clock(), int(self.now * 1000), self.scenario.seed + ingress)
+        return LeaseHolder(config, self._wall_clock(), int(self.now * 1000), self.scenario.seed + ingress)
 
     def run(self) -> Result:
         """Runs the scenario until its last requests are answered."""
@@ -149,7 +149,7 @@
         self.pending_decisions[number] = QuotaDecision(self.now, account.number, units, False)
         spread = min(account.plan.spread, self.scenario.ingresses)
         if (leases := self.leases[ingress]) is not None:
-            leases.met(account.number, plan_index, spread, account.first_ingress, self._wall_clock())
+            leases.add_account(account.number, plan_index, spread, account.first_ingress, self._wall_clock())
         request = interface.Request(
             number, 0, plan_index, account.number, 5.0, float(units), spread, account.first_ingress
         )
@@ -178,7 +178,7 @@
                 )
             elif isinstance(action, interface.Count):
                 if (leases := self.leases[ingress]) is not None:
-                    leases.asked(
+                    leases.request_count(
                         action.name, action.amount, timedelta(seconds=action.ttl), self._wall_clock()
                     )
                 else:
@@ -212,15 +212,15 @@
 
     def _run_lease_actions(self, ingress: int) -> None:
         leases = self.leases[ingress]
-        for action in leases.take() if leases is not None else ():
-            if isinstance(action, TellTotal):  # in the order of the calls, as events are delivered
+        for action in leases.take_actions() if leases is not None else ():
+            if isinstance(action, AnswerCount):  # in the order of the calls, as events are delivered
                 counted = interface.CountOutcome(
-                    action.name, action.took.total_seconds(), action.end, action.total
+                    action.name, action.duration.total_seconds(), action.end, action.total
                 )
                 self._schedule(self.now, self._deliver_total, ingress, self.generations[ingress], counted)
             elif isinstance(action, CallCounter):
                 self._call_counter(
-                    ingress, action.token, action.name, action.amount, action.life.total_seconds()
+                    ingress, action.token, action.name, action.amount, action.ttl.total_seconds()
                 )
             elif isinstance(action, SendMessage):
                 self._send_message(ingress, action)
@@ -230,7 +230,7 @@
             self._handle_events(ingress, counted)
 
     def _send_message(self, ingress: int, action: SendMessage) -> None:
-        data = messages.write(action.message)
+        data = messages.encode_message(action.message)
         self.result.max_message_size = max(self.result.max_message_size, len(data))
         apart = self.scenario.groups and self.scenario.groups[ingress] != self.scenario.groups[action.peer]
         if (
@@ -245,9 +245,9 @@
         key = ingress, int(self.now)
         self.received[key] = self.received.get(key, 0) + 1
         self.result.max_received_per_second = max(self.result.max_received_per_second, self.received[key])
-        message, leases = messages.read(data), self.leases[ingress]
+        message, leases = messages.decode_message(data), self.leases[ingress]
         assert message is not None and leases is not None
-        leases.heard(message, self._wall_clock())
+        leases.handle_message(message, self._wall_clock())
         self._run_lease_actions(ingress)
 
     # --- the counter ---------------------------------------------------------------------------------------
@@ -310,7 +310,7 @@
         if generation != self.generations[ingress]:
             return
         if (leases := self.leases[ingress]) is not None:
-            leases.counted(token, end, total, self._wall_clock())
+            leases.handle_counter_result(token, end, total, self._wall_clock())
             self._run_lease_actions(ingress)
         else:
             self._handle_events(ingress, interface.CountOutcome(name, self.now - called_at, end, total))
--- a/opalgauge/lab/replica_simulation.py
+++ b/opalgauge/lab/replica_simulation.py
@@ -7,8 +7,8 @@
 
 from opalgauge.lab.simulation import TICK_INTERVAL, Simulation
 from opalgauge.replica import messages
-from opalgauge.replica.gossip import Gossip, Say
-from opalgauge.replica.store import Store
+from opalgauge.replica.gossip import Gossip, SendMessage
+from opalgauge.replica.store import ReplicaStore
 
 MAX_RECEIVED_PER_SECOND = 100  # messages that a replica accepts; further ones are dropped
 
@@ -72,7 +72,7 @@
             self._schedule(when, self._restart, index)
 
     def _make_replica(self, index: int) -> Gossip:
-        store = Store(index, int(self.now * 1000))
+        store = ReplicaStore(index, int(self.now * 1000))
         return Gossip(
             store,
             self.scenario.replicas,
@@ -109,11 +109,11 @@
         subject, choice = self.rng.randrange(20), self.rng.random()
         self.result.change_count += 1
         if choice < 0.5:
-            replica.changed(replica.store.set_ban(f"s-{subject:08x}", self.rng.random() < 0.6, now))
+            replica.announce(replica.store.set_ban(f"s-{subject:08x}", self.rng.random() < 0.6, now))
         elif choice < 0.8:
-            replica.changed(replica.store.judge(f"{subject}:0:0", now + timedelta(seconds=600), now))
+            replica.announce(replica.store.add_ejection(f"{subject}:0:0", now + timedelta(seconds=600), now))
         else:
-            replica.changed(replica.store.acquit(f"{subject}:0:0", now))
+            replica.announce(replica.store.clear_ejection(f"{subject}:0:0", now))
 
     def _restart(self, index: int) -> None:
         self.generations[index] += 1
@@ -136,11 +136,11 @@
             self._send_pending(index)
 
     def _send_pending(self, index: int) -> None:
-        for outgoing in self.replicas[index].take()[0]:
+        for outgoing in self.replicas[index].take_outputs()[0]:
             self._transmit(index, outgoing)
 
-    def _transmit(self, index: int, outgoing: Say) -> None:
-        data = messages.write(outgoing.message)
+    def _transmit(self, index: int, outgoing: SendMessage) -> None:
+        data = messages.encode_message(outgoing.message)
         self.result.max_message_size = max(self.result.max_message_size, len(data))
         self.result.bytes_sent_per_second += len(data)
         key = index, int(self.now)
@@ -157,6 +157,9 @@
     def _receive(self, index: int, data: bytes) -> None:
         key = index, int(self.now)
         self.received[key] = self.received.get(key, 0) + 1
-        if self.received[key] <= MAX_RECEIVED_PER_SECOND and (message := messages.read(data)) is not None:
-            self.replicas[index].heard(message, self._wall_clock(self.clock_skews[index]))
+        if (
+            self.received[key] <= MAX_RECEIVED_PER_SECOND
+            and (message := messages.decode_message(data)) is not None
+        ):
+            self.replicas[index].handle_message(message, self._wall_clock(self.clock_skews[index]))
             self._send_pending(index)
--- a/opalgauge/lab/zone_simulation.py
+++ b/opalgauge/lab/zone_simulation.py
@@ -12,7 +12,7 @@
 from opalgauge.lab.simulation import TICK_INTERVAL, Simulation
 from opalgauge.memory.effects import ReportAttempt
 from opalgauge.zones import messages
-from opalgauge.zones.watch import Judged, Rules, Say, Watch
+from opalgauge.zones.watch import ChangeShare, SendMessage, ZoneConfig, ZoneWatch
 from starlinggap import Gateway, interface
 
 AIM, DEADLINE, CONNECT_FAILURE_TIME = 1.2, 4.0, 0.1
@@ -75,7 +75,7 @@
             for index in range(len(self.models))
         )
         self.gateways: list[Gateway] = []
-        self.watches: list[Watch] = []
+        self.watches: list[ZoneWatch] = []
         self.generations = [0] * scenario.ingresses
         self.received: list[dict[int, int]] = [{} for _ in range(scenario.ingresses)]
         self.attempts: dict[int, int] = {}
@@ -107,14 +107,14 @@
         gateway.handle(self.now, [interface.ServerList(interface.ListKind.COMPLETE, self.entries)])
         return gateway
 
-    def _make_watch(self, ingress: int) -> Watch:
+    def _make_watch(self, ingress: int) -> ZoneWatch:
         expected_times = (timedelta(seconds=self.scenario.work), timedelta(seconds=self.scenario.work))
         names = tuple(f"zone-{index}" for index in range(self.scenario.zones))
         cold = timedelta(seconds=self.scenario.warm_up)
         stated = self.scenario.stated_ingresses or self.scenario.ingresses
-        rules = Rules(names, stated, ingress, expected_times, cold, 0.21)
-        watch = Watch(rules, self._wall_clock(), int(self.now * 1000), self.scenario.seed + ingress)
-        watch.listed(self.entries)
+        config = ZoneConfig(names, stated, ingress, expected_times, cold, 0.21)
+        watch = ZoneWatch(config, self._wall_clock(), int(self.now * 1000), self.scenario.seed + ingress)
+        watch.update_servers(self.entries)
         return watch
 
     def run(self) -> Result:
@@ -162,18 +162,18 @@
             return
         self._schedule(self.now + TICK_INTERVAL, self._tick, ingress, generation)
         for action in self.watches[ingress].tick(self._wall_clock()):
-            if isinstance(action, Say):
-                data = messages.write(action.message)
+            if isinstance(action, SendMessage):
+                data = messages.encode_message(action.message)
                 self.result.max_message_size = max(self.result.max_message_size, len(data))
                 for peer in action.peers:
                     if peer < self.scenario.ingresses and self.rng.random() >= self.scenario.drop:
                         wait = self.rng.uniform(*self.scenario.delay)
                         self._schedule(self.now + wait, self._receive, peer, data)
-            elif isinstance(action, Judged) and self.scenario.leave_zones:
-                if action.zone == 0 and action.share == 0 and not action.trial:
+            elif isinstance(action, ChangeShare) and self.scenario.leave_zones:
+                if action.zone == 0 and action.share == 0 and not action.trial_server:
                     self.result.left_at.append(self.now)
-                if action.trial:
-                    self._trial(ingress, action.trial)
+                if action.trial_server:
+                    self._trial(ingress, action.trial_server)
                 self._apply(
                     ingress,
                     self.gateways[ingress].handle(self.now, [interface.ZoneShare(action.zone, action.share)]),
@@ -186,13 +186,13 @@
         self.result.max_received_per_second = max(
             self.result.max_received_per_second, self.received[ingress][second]
         )
-        message = messages.read(data)
+        message = messages.decode_message(data)
         assert message is not None
-        self.watches[ingress].heard(message, self._wall_clock())
+        self.watches[ingress].handle_message(message, self._wall_clock())
 
     def _trial(self, ingress: int, server: int) -> None:
         watch, zone = self.watches[ingress], self.entries[server - 1].zone
-        watch.seen(ReportAttempt((0, server), server, zone, 0), self._wall_clock())
+        watch.record_attempt(ReportAttempt((0, server), server, zone, 0), self._wall_clock())
         took = CONNECT_FAILURE_TIME if self._in_outage(server) else 0.002
         end = interface.End.CONNECT_FAILED if self._in_outage(server) else interface.End.OK
         self._schedule(
@@ -206,7 +206,7 @@
             observation = ReportAttempt(
                 (0, server), server, self.entries[server - 1].zone, 0, end, timedelta(seconds=took)
             )
-            self.watches[ingress].seen(observation, self._wall_clock())
+            self.watches[ingress].record_attempt(observation, self._wall_clock())
 
     def _apply(self, ingress: int, actions: list[interface.Action]) -> None:
         for action in actions:
@@ -237,7 +237,7 @@
         attempt = self.attempts.get(action.request, 0)
         self.attempts[action.request] = attempt + 1
         zone = self.entries[action.server - 1].zone
-        self.watches[ingress].seen(
+        self.watches[ingress].record_attempt(
             ReportAttempt((action.request, attempt), action.server, zone, 0), self._wall_clock()
         )
         self.in_flight[ingress, action.request, attempt] = action.server, self.generations[ingress]
@@ -274,7 +274,7 @@
             self.result.first_failure = self.now
         took = timedelta(seconds=self.now - started)
         observation = ReportAttempt((request, attempt), server, self.entries[server - 1].zone, 0, end, took)
-        self.watches[ingress].seen(observation, self._wall_clock())
+        self.watches[ingress].record_attempt(observation, self._wall_clock())
         answered = False
         if end is interface.End.OK and (pending := self.pending.pop(request, None)):
             answered = True
--- a/opalgauge/leases/actions.py
+++ b/opalgauge/leases/actions.py
@@ -6,17 +6,17 @@
 from datetime import datetime, timedelta
 
 from opalgauge.leases.messages import Message
-from starlinggap import interface as i
+from starlinggap import interface
 
 
 @dataclass(frozen=True, slots=True)
-class TellTotal:
+class AnswerCount:
     """One ask's answer. `took`: since it was asked. `end`: not `OK` where nobody can tell a total."""
 
     name: int
     total: float
-    took: timedelta
-    end: i.End = i.End.OK
+    duration: timedelta
+    end: interface.End = interface.End.OK
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
     token: int
     name: int
     amount: float
-    life: timedelta
+    ttl: timedelta
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,13 +45,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReportUse:
+class ReportUsage:
     """This ingress has spent so many units more of an account that comes near its quota, in a window."""
 
     account: int
     window: int
-    over: datetime
+    ends_at: datetime
     units: float
 
 
-Action = TellTotal | CallCounter | SendMessage | LogLine | ReportUse
+Action = AnswerCount | CallCounter | SendMessage | LogLine | ReportUsage
--- a/opalgauge/leases/counter_health.py
+++ b/opalgauge/leases/counter_health.py
@@ -16,15 +16,22 @@
 from datetime import datetime, timedelta
 from enum import Enum
 
-LATE = timedelta(milliseconds=25)  # an answer that takes longer is not waited for: half of a call's time-out
-QUICK = LATE / 2
+LATE_AFTER = timedelta(
+    milliseconds=25
+)  # an answer that takes longer is not waited for: half of a call's time-out
+QUICK_WITHIN = LATE_AFTER / 2
 QUICK_ANSWERS = 3  # in a row: the counter answers again
-MISSES = 2  # answers late or lost in a row: the counter is in trouble
-TRIAL = timedelta(milliseconds=500)  # between trials while nothing else is called
-SILENCE = timedelta(seconds=1)  # without any answer, also a late one: the counter is gone, and not only slow
-REST = 3.0  # times as long as the last call took: no call while the counter is slow
-LEAST_CALLS, MOST_CALLS = 1.0, 16.0  # at once: a counter under pressure is called less, and batches more
-FIRST_CALLS = 4.0
+MISSES_BEFORE_TROUBLE = 2  # answers late or lost in a row: the counter is in trouble
+TRIAL_INTERVAL = timedelta(milliseconds=500)  # between trials while nothing else is called
+GONE_AFTER = timedelta(
+    seconds=1
+)  # without any answer, also a late one: the counter is gone, and not only slow
+REST_FACTOR = 3.0  # times as long as the last call took: no call while the counter is slow
+MIN_CALLS_AT_ONCE, MAX_CALLS_AT_ONCE = (
+    1.0,
+    16.0,
+)  # at once: a counter under pressure is called less, and batches more
+INITIAL_CALLS_AT_ONCE = 4.0
 
 
 class CounterState(Enum):
@@ -36,34 +43,34 @@
 class CounterHealth:
     """`since`: when the present trouble began. `reached`: it has answered in this life."""
 
-    def __init__(self, now: datetime, chance: random.Random) -> None:
-        self.since: datetime | None = None
-        self.reached = False
-        self.calls_at_once = FIRST_CALLS
-        self._chance = chance
-        self._sent: dict[int, datetime] = {}  # calls without an answer
-        self._awaited: OrderedDict[int, datetime] = OrderedDict()  # those of them that are not late
+    def __init__(self, now: datetime, rng: random.Random) -> None:
+        self.trouble_since: datetime | None = None
+        self.has_answered = False
+        self.calls_at_once = INITIAL_CALLS_AT_ONCE
+        self._rng = rng
+        self._unanswered: dict[int, datetime] = {}  # calls without an answer
+        self._not_yet_late: OrderedDict[int, datetime] = OrderedDict()  # those of them that are not late
         self._misses = 0
         self._quick_answers = 0
         self._answered_at = self._rest_until = self._trial_at = now
 
     @property
     def in_trouble(self) -> bool:
-        return self.since is not None
+        return self.trouble_since is not None
 
     def state(self, now: datetime) -> CounterState:
         if not self.in_trouble:
             return CounterState.ANSWERS
-        if now - self._answered_at >= SILENCE:
+        if now - self._answered_at >= GONE_AFTER:
             return CounterState.GONE
         return CounterState.SLOW
 
     def may_call(self, now: datetime) -> bool:
         match self.state(now):
             case CounterState.ANSWERS:
-                return len(self._awaited) < int(self.calls_at_once)
+                return len(self._not_yet_late) < int(self.calls_at_once)
             case CounterState.SLOW:
-                return not self._sent and now >= self._rest_until
+                return not self._unanswered and now >= self._rest_until
             case CounterState.GONE:
                 return False
 
@@ -71,53 +78,53 @@
         """Whether a read is to be sent only to learn how the counter is; the next one's time is set."""
         if not self.in_trouble or now < self._trial_at:
             return False
-        self._trial_at = now + TRIAL * (0.75 + self._chance.random() / 2)
+        self._trial_at = now + TRIAL_INTERVAL * (0.75 + self._rng.random() / 2)
         return True
 
-    def called(self, token: int, now: datetime) -> None:
-        self._sent[token] = self._awaited[token] = now
+    def record_call(self, token: int, now: datetime) -> None:
+        self._unanswered[token] = self._not_yet_late[token] = now
 
-    def overdue(self, now: datetime) -> list[int]:
+    def take_overdue(self, now: datetime) -> list[int]:
         """The calls that have become late since this was last asked."""
-        late = [token for token, sent in self._awaited.items() if now - sent >= LATE]
+        late = [token for token, sent in self._not_yet_late.items() if now - sent >= LATE_AFTER]
         for token in late:
-            del self._awaited[token]
+            del self._not_yet_late[token]
         return late
 
-    def answered(self, token: int, now: datetime) -> bool:
+    def record_answer(self, token: int, now: datetime) -> bool:
         """An answer has come, in time or late. Whether it ends the trouble."""
-        took = now - self._sent.pop(token, now)
-        in_time = self._awaited.pop(token, None) is not None
-        self.reached = True
+        duration = now - self._unanswered.pop(token, now)
+        in_time = self._not_yet_late.pop(token, None) is not None
+        self.has_answered = True
         self._answered_at = now
-        self._rest_until = now + REST * took
+        self._rest_until = now + REST_FACTOR * duration
         if not in_time:
             self._quick_answers = 0
             return False
         self._misses = 0
-        self.calls_at_once = min(MOST_CALLS, self.calls_at_once + 1 / self.calls_at_once)
-        self._quick_answers = self._quick_answers + 1 if took < QUICK else 0
+        self.calls_at_once = min(MAX_CALLS_AT_ONCE, self.calls_at_once + 1 / self.calls_at_once)
+        self._quick_answers = self._quick_answers + 1 if duration < QUICK_WITHIN else 0
         if not self.in_trouble:
             return False
         if self._quick_answers < QUICK_ANSWERS:
             if self._quick_answers:
                 self._trial_at = self._rest_until
             return False
-        self.since = None
+        self.trouble_since = None
         return True
 
-    def failed(self, token: int, now: datetime) -> bool:
+    def record_failure(self, token: int, now: datetime) -> bool:
         """No answer will come. Whether it is a miss: a call that was late has been counted as one before."""
-        took = now - self._sent.pop(token, now)
-        self._rest_until = now + REST * max(took, LATE)
-        return self._awaited.pop(token, None) is not None
+        duration = now - self._unanswered.pop(token, now)
+        self._rest_until = now + REST_FACTOR * max(duration, LATE_AFTER)
+        return self._not_yet_late.pop(token, None) is not None
 
-    def missed(self, now: datetime) -> bool:
+    def record_miss(self, now: datetime) -> bool:
         """An answer was late or will not come. Whether trouble begins with it."""
-        self.calls_at_once = max(LEAST_CALLS, self.calls_at_once / 2)
+        self.calls_at_once = max(MIN_CALLS_AT_ONCE, self.calls_at_once / 2)
         self._quick_answers = 0
         self._misses += 1
-        if self.in_trouble or self._misses < MISSES:
+        if self.in_trouble or self._misses < MISSES_BEFORE_TROUBLE:
             return False
-        self.since, self._trial_at = now, now + TRIAL / 2
+        self.trouble_since, self._trial_at = now, now + TRIAL_INTERVAL / 2
         return True
--- a/opalgauge/leases/holder.py
+++ b/opalgauge/leases/holder.py
@@ -23,495 +23,567 @@
 from dataclasses import dataclass
 from datetime import UTC, datetime, timedelta
 
-from opalgauge.leases.accounts import Account, Ask, Peer, Window
-from opalgauge.leases.actions import Action, CallCounter, LogLine, ReportUse, SendMessage, TellTotal
-from opalgauge.leases.counter_health import LATE, CounterHealth
-from opalgauge.leases.messages import MOST_GRANTS, MOST_NEEDS, Grant, Message, Need
-from starlinggap import interface as i
+from opalgauge.leases.accounts import Account, Peer, PendingCount, Window
+from opalgauge.leases.actions import Action, AnswerCount, CallCounter, LogLine, ReportUsage, SendMessage
+from opalgauge.leases.counter_health import LATE_AFTER, CounterHealth
+from opalgauge.leases.messages import MAX_GRANTS, MAX_NEEDS, Grant, Message, Need
+from starlinggap import interface
 from starlinggap.quota import counter_name
 
-NOTHING = timedelta(0)
-JUST_READ = timedelta(milliseconds=150)  # a total so old tells that there is no room
-RECENTLY_READ = timedelta(milliseconds=300)  # a total so old is read anew; of a window that is over: SETTLED
-SETTLED = timedelta(seconds=1)
-TERM = timedelta(seconds=2)  # a lease is for the use of so long, and handed back when idle as long
-PART = 0.5  # of what is free, over all ingresses of the account: what leases may hold of it
-CONTESTED = 0.4  # of its quota: below, nobody misses what is left of a lease
-LEAST = 1.0  # requests expected within a term, below which a lease saves nothing
-UNKNOWN = 0.5  # of its quota: what an account not met before the cut is thought to have used
-RESERVED = timedelta(seconds=30)  # an ingress that is not heard is left its part for so long
-MESSAGE_LIFE = timedelta(milliseconds=1500)
-HEARTBEAT = timedelta(milliseconds=400)  # between messages that only say that one lives
-LEAST_PAUSE = timedelta(milliseconds=80)  # between messages to one peer
-SMALL_FLEET = 12  # ingresses: with more of them, silence says nothing, as nobody can speak to all
-SPARE = 0.7  # of what an ingress has no use for itself, given to one that asks
-REPEATS = 3  # times that a grant is said
-NEED_LIFE = timedelta(milliseconds=800)
-REPORT = timedelta(seconds=1)
-MOST_ACCOUNTS = 20_000
+NO_DELAY = timedelta(0)
+JUST_READ_AGE = timedelta(milliseconds=150)  # a total so old tells that there is no room
+FRESH_READ_AGE = timedelta(milliseconds=300)  # a total so old is read anew; of a window that is over: SETTLED
+SETTLED_READ_AGE = timedelta(seconds=1)
+LEASE_TERM = timedelta(seconds=2)  # a lease is for the use of so long, and handed back when idle as long
+LEASED_SHARE = 0.5  # of what is free, over all ingresses of the account: what leases may hold of it
+CONTESTED_SHARE = 0.4  # of its quota: below, nobody misses what is left of a lease
+MIN_LEASE = 1.0  # requests expected within a term, below which a lease saves nothing
+UNKNOWN_USAGE_SHARE = 0.5  # of its quota: what an account not met before the cut is thought to have used
+RESERVATION_TIME = timedelta(seconds=30)  # an ingress that is not heard is left its part for so long
+MESSAGE_MAX_AGE = timedelta(milliseconds=1500)
+HEARTBEAT_INTERVAL = timedelta(milliseconds=400)  # between messages that only say that one lives
+MIN_SEND_INTERVAL = timedelta(milliseconds=80)  # between messages to one peer
+SMALL_FLEET_SIZE = 12  # ingresses: with more of them, silence says nothing, as nobody can speak to all
+GRANTED_SHARE = 0.7  # of what an ingress has no use for itself, given to one that asks
+GRANT_REPEATS = 3  # times that a grant is said
+NEED_DURATION = timedelta(milliseconds=800)
+REPORT_INTERVAL = timedelta(seconds=1)
+MAX_ACCOUNTS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class LeaseConfig:
     """What the settings say: this ingress among all, and each tariff's rate and burst.
 
     `ahead`, `grants`: False leaves out leases while the counter answers, and grants while it does not.
     """
 
-    me: int
-    ingresses: int
+    own_index: int
+    fleet_size: int
     plans: tuple[tuple[float, float], ...]
-    ahead: bool = True
-    grants: bool = True
+    lease_ahead: bool = True
+    grant_rights: bool = True
 
 
-class Leases:
+class LeaseHolder:
     """One ingress's leases and rights. `life`: larger at each start of this ingress."""
 
-    def __init__(self, rules: Rules, now: datetime, life: int, seed: int) -> None:
-        self.rules, self.now, self.life = rules, now, life
-        self.born = now
-        self.chance = random.Random(seed)
+    def __init__(self, config: LeaseConfig, now: datetime, incarnation: int, seed: int) -> None:
+        self.config, self.now, self.incarnation = config, now, incarnation
+        self.started_at = now
+        self.rng = random.Random(seed)
         self.accounts: OrderedDict[int, Account] = OrderedDict()
-        self.names: dict[int, Window] = {}
-        self.tokens: dict[int, Window | Ask | None] = {}  # None: a trial; Ask: of a name that is not known
-        self.token = 0
-        self.counter = CounterHealth(now, self.chance)
-        self.peers = {n: Peer() for n in range(rules.ingresses) if n != rules.me}
-        self.number = 0
-        self.out: list[Action] = []
-        self.calls = self.asks = self.alone_asks = 0
-        self.given = self.taken = 0.0
-        self.dirty: OrderedDict[int, Account] = OrderedDict()  # accounts with something to settle
-        self.wanting: OrderedDict[int, Account] = OrderedDict()
-        self.report_at = now
+        self.windows_by_name: dict[int, Window] = {}
+        self.calls_in_flight: dict[
+            int, Window | PendingCount | None
+        ] = {}  # None: a trial; Ask: of a name that is not known
+        self.last_token = 0
+        self.counter_health = CounterHealth(now, self.rng)
+        self.peers = {n: Peer() for n in range(config.fleet_size) if n != config.own_index}
+        self.last_sequence = 0
+        self.actions: list[Action] = []
+        self.counter_calls = self.counts_asked = self.detached_counts = 0
+        self.units_granted = self.units_received = 0.0
+        self.unsettled: OrderedDict[int, Account] = OrderedDict()  # accounts with something to settle
+        self.accounts_in_need: OrderedDict[int, Account] = OrderedDict()
+        self.next_report_at = now
         # What all ingresses have told of an account's window, where it is replicated.
-        self.heard_of: Callable[[int, int, datetime], float | None] = lambda account, window, over: None
+        self.replicated_usage: Callable[[int, int, datetime], float | None] = (
+            lambda account, window, ends_at: None
+        )
 
-    def take(self) -> list[Action]:
-        out, self.out = self.out, []
-        return out
+    def take_actions(self) -> list[Action]:
+        actions, self.actions = self.actions, []
+        return actions
 
     # --- what comes in -------------------------------------------------------------------------------------
-    def met(self, account: int, tariff: int, spread: int, first: int, now: datetime) -> None:
+    def add_account(
+        self, account: int, plan_index: int, ingress_count: int, first_ingress: int, now: datetime
+    ) -> None:
         """A request of this account has come: its names can be asked for from now on."""
         self.now = max(self.now, now)
-        known = self._account(account, tariff, spread, first)
+        known = self._get_account(account, plan_index, ingress_count, first_ingress)
         if known is not None:
-            self._open(known, int(self.now.timestamp() // known.length))
+            self._open_window(known, int(self.now.timestamp() // known.window_seconds))
 
-    def asked(self, name: int, amount: float, life: timedelta, now: datetime) -> None:
+    def request_count(self, name: int, amount: float, ttl: timedelta, now: datetime) -> None:
         """The decisions ask for a count. Each ask is answered by one `TellTotal`."""
         self.now = max(self.now, now)
-        self.asks += 1
-        window = self.names.get(name)
+        self.counts_asked += 1
+        window = self.windows_by_name.get(name)
         if window is None:  # nothing of ours can be said of it
-            self._call(name, amount, life, Ask(name, amount, self.now))
+            self._call_counter(name, amount, ttl, PendingCount(name, amount, self.now))
             return
-        window.life = life
-        window.asks.append(Ask(name, amount, self.now))
-        self._serve(window)
+        window.ttl = ttl
+        window.pending_counts.append(PendingCount(name, amount, self.now))
+        self._answer_counts(window)
 
-    def counted(self, token: int, end: i.End, total: float, now: datetime) -> None:
+    def handle_counter_result(self, token: int, end: interface.End, total: float, now: datetime) -> None:
         """What came of a `Call`."""
         self.now = max(self.now, now)
-        about = self.tokens.pop(token, None)
-        answered = end is i.End.OK and math.isfinite(total)
+        subject = self.calls_in_flight.pop(token, None)
+        answered = end is interface.End.OK and math.isfinite(total)
         if answered:
-            if self.counter.answered(token, self.now):
-                self.out.append(LogLine("counter: answers again"))
-        elif self.counter.failed(token, self.now):
-            self._miss()
-        if isinstance(about, Ask):
-            took = self.now - about.at
-            told = TellTotal(about.name, total, took) if answered else TellTotal(about.name, 0.0, took, end)
-            self.out.append(told)
-        elif isinstance(about, Window) and about.token == token:
-            about.token = 0
-            if not answered and end in i.NEVER_RAN:
-                about.charged -= about.out
-                about.pending -= about.out
+            if self.counter_health.record_answer(token, self.now):
+                self.actions.append(LogLine("counter: answers again"))
+        elif self.counter_health.record_failure(token, self.now):
+            self._record_miss()
+        if isinstance(subject, PendingCount):
+            duration = self.now - subject.asked_at
+            answer = (
+                AnswerCount(subject.name, total, duration)
+                if answered
+                else AnswerCount(subject.name, 0.0, duration, end)
+            )
+            self.actions.append(answer)
+        elif isinstance(subject, Window) and subject.call_token == token:
+            subject.call_token = 0
+            if not answered and end in interface.NEVER_RAN:
+                subject.charged -= subject.call_amount
+                subject.unconfirmed -= subject.call_amount
             if answered:
-                about.total, about.fresh = max(0.0, total), self.now
-                about.pending = 0.0
-                if not self.counter.in_trouble:  # a late total tells nothing of what others spend by rights
-                    about.alone = False
-                    self._rebase(about)
-            self._serve(about)
-        self._next()
-
-    def heard(self, message: Message, now: datetime) -> None:
+                subject.counter_total, subject.read_at = max(0.0, total), self.now
+                subject.unconfirmed = 0.0
+                if (
+                    not self.counter_health.in_trouble
+                ):  # a late total tells nothing of what others spend by rights
+                    subject.detached = False
+                    self._update_reservation(subject)
+            self._answer_counts(subject)
+        self._serve_waiting()
+
+    def handle_message(self, message: Message, now: datetime) -> None:
         self.now = max(self.now, now)
         peer = self.peers.get(message.sender)
-        if peer is None or message.life < peer.life:
+        if peer is None or message.incarnation < peer.incarnation:
             return
-        if message.life > peer.life:
-            peer.life, peer.number = message.life, -1
+        if message.incarnation > peer.incarnation:
+            peer.incarnation, peer.sequence = message.incarnation, -1
         for grant in message.grants:
-            self._granted(message.sender, message.life, grant)
-        if message.number <= peer.number:
+            self._handle_grant(message.sender, message.incarnation, grant)
+        if message.sequence <= peer.sequence:
             return  # repeated or overtaken: what it needed is no longer known to be so
-        peer.number, peer.heard, peer.down = message.number, self.now, message.down
+        peer.sequence, peer.heard_at, peer.without_counter = (
+            message.sequence,
+            self.now,
+            message.without_counter,
+        )
         for need in message.needs:
-            self._needed(message.sender, message.life, need)
+            self._handle_need(message.sender, message.incarnation, need)
 
     def tick(self, now: datetime) -> None:
         """To be called some fifty times a second."""
         self.now = max(self.now, now)
-        for token in self.counter.overdue(self.now):
-            self._miss()
-            about = self.tokens.get(token)
-            if isinstance(about, Window):
-                self._leave(about)
-                self._serve(about)
-        if self.counter.trial_due(self.now):
-            self._call(0, 0.0, SETTLED, None)
+        for token in self.counter_health.take_overdue(self.now):
+            self._record_miss()
+            subject = self.calls_in_flight.get(token)
+            if isinstance(subject, Window):
+                self._detach(subject)
+                self._answer_counts(subject)
+        if self.counter_health.trial_due(self.now):
+            self._call_counter(0, 0.0, SETTLED_READ_AGE, None)
         self._settle()
-        if self.now >= self.report_at:
-            self.report_at = self.now + REPORT
-            self._report()
-        self._speak()
+        if self.now >= self.next_report_at:
+            self.next_report_at = self.now + REPORT_INTERVAL
+            self._report_usage()
+        self._send_messages()
 
     # --- accounts and windows ------------------------------------------------------------------------------
-    def _account(self, number: int, tariff: int, spread: int, first: int) -> Account | None:
+    def _get_account(
+        self, number: int, plan_index: int, ingress_count: int, first_ingress: int
+    ) -> Account | None:
         known = self.accounts.get(number)
         if known is None:
-            rate, burst = self.rules.plans[tariff % len(self.rules.plans)]
+            rate, burst = self.config.plans[plan_index % len(self.config.plans)]
             if rate <= 0:
                 return None
-            length = min(burst / rate, 20.0)  # as the decisions reckon it
-            limit = min(burst, rate * length)
-            known = Account(number, tariff, first, max(1, spread), limit, length)
+            window_seconds = min(burst / rate, 20.0)  # as the decisions reckon it
+            limit = min(burst, rate * window_seconds)
+            known = Account(number, plan_index, first_ingress, max(1, ingress_count), limit, window_seconds)
             self.accounts[number] = known
-            while len(self.accounts) > MOST_ACCOUNTS:
-                self._drop(next(iter(self.accounts.values())))
+            while len(self.accounts) > MAX_ACCOUNTS:
+                self._forget_account(next(iter(self.accounts.values())))
         self.accounts.move_to_end(number)
         return known
 
-    def _drop(self, account: Account) -> None:
+    def _forget_account(self, account: Account) -> None:
         for window in account.windows.values():
-            if window.asks:  # each is owed its answer
-                self._leave(window)
-                self._serve(window)
-            self.names.pop(window.name, None)
+            if window.pending_counts:  # each is owed its answer
+                self._detach(window)
+                self._answer_counts(window)
+            self.windows_by_name.pop(window.name, None)
         del self.accounts[account.number]
-        self.dirty.pop(account.number, None)
-        self.wanting.pop(account.number, None)
+        self.unsettled.pop(account.number, None)
+        self.accounts_in_need.pop(account.number, None)
 
-    def _open(self, account: Account, number: int) -> Window:
+    def _open_window(self, account: Account, number: int) -> Window:
         """The window of this number, and those beside it; older ones are forgotten."""
         for n in (number - 1, number, number + 1):  # the next one's name may be asked for before a request
             if n not in account.windows:
-                life = timedelta(seconds=3 * account.length)
-                window = Window(account, n, counter_name(account.number, n), life)
-                account.windows[n] = self.names[window.name] = window
-                if self.counter.in_trouble:
-                    self._leave(window)
+                ttl = timedelta(seconds=3 * account.window_seconds)
+                window = Window(account, n, counter_name(account.number, n), ttl)
+                account.windows[n] = self.windows_by_name[window.name] = window
+                if self.counter_health.in_trouble:
+                    self._detach(window)
         for n in [n for n in account.windows if n < number - 1]:
             window = account.windows[n]
-            if window.asks or window.token:
+            if window.pending_counts or window.call_token:
                 continue
-            del self.names[window.name], account.windows[n]
+            del self.windows_by_name[window.name], account.windows[n]
         return account.windows[number]
 
-    def _part(self, account: Account) -> float:
-        return 1.0 / min(account.spread, self.rules.ingresses)
+    def _even_share(self, account: Account) -> float:
+        return 1.0 / min(account.ingress_count, self.config.fleet_size)
 
-    def _members(self, account: Account) -> list[int]:
-        count = self.rules.ingresses
-        return [(account.first + k) % count for k in range(min(account.spread, count))]
+    def _account_ingresses(self, account: Account) -> list[int]:
+        count = self.config.fleet_size
+        return [(account.first_ingress + k) % count for k in range(min(account.ingress_count, count))]
 
     # --- alone ---------------------------------------------------------------------------------------------
-    def _leave(self, window: Window) -> None:
+    def _detach(self, window: Window) -> None:
         """From here on it is decided without the counter."""
-        if window.alone:
+        if window.detached:
             return
-        account, part = window.account, self._part(window.account)
-        limit, began = account.limit, window.number * account.length
-        if window.total is not None:
-            told = self._told(window)
-            free = max(0.0, limit - window.total)
+        account, share = window.account, self._even_share(window.account)
+        limit, began = account.limit, window.number * account.window_seconds
+        if window.counter_total is not None:
+            used_before = self._estimated_total(window)
+            free = max(0.0, limit - window.counter_total)
             # A lease that a total known to be short no longer bears is used up all the same: it was charged.
-            window.rights = max(0.0, window.held - window.pending)
-            if self.counter.in_trouble:  # and not for one late answer, as the others go on by what they hear
-                window.rights += part * free
-        elif not self.counter.reached and began <= self.born.timestamp():
+            window.rights = max(0.0, window.held - window.unconfirmed)
+            if (
+                self.counter_health.in_trouble
+            ):  # and not for one late answer, as the others go on by what they hear
+                window.rights += share * free
+        elif not self.counter_health.has_answered and began <= self.started_at.timestamp():
             # Guards against rights that a former life of this ingress may have spent already.
-            told, window.rights = limit, 0.0
-        elif self.counter.since is not None and began >= self.counter.since.timestamp():
-            told, window.rights = 0.0, part * limit
+            used_before, window.rights = limit, 0.0
+        elif (
+            self.counter_health.trouble_since is not None
+            and began >= self.counter_health.trouble_since.timestamp()
+        ):
+            used_before, window.rights = 0.0, share * limit
         else:
-            heard = self.heard_of(account.number, window.number, self._over(window))
-            told = min(limit, heard) if heard is not None else UNKNOWN * limit
-            window.rights = part * (limit - told)
-        window.alone, window.kept = True, 0.0
-        window.before, window.used = told, 0.0
-        self.dirty[account.number] = account
+            replicated = self.replicated_usage(account.number, window.number, self._window_end(window))
+            used_before = min(limit, replicated) if replicated is not None else UNKNOWN_USAGE_SHARE * limit
+            window.rights = share * (limit - used_before)
+        window.detached, window.reserved_share = True, 0.0
+        window.used_before_detach, window.used_since_detach = used_before, 0.0
+        self.unsettled[account.number] = account
 
     @staticmethod
-    def _over(window: Window) -> datetime:
+    def _window_end(window: Window) -> datetime:
         """When the window ends, to the millisecond: the same at all ingresses."""
-        end = round((window.number + 1) * window.account.length * 1000)
+        end = round((window.number + 1) * window.account.window_seconds * 1000)
         return datetime.fromtimestamp(0, UTC) + timedelta(milliseconds=end)
 
-    def _report(self) -> None:
+    def _report_usage(self) -> None:
         """What others need of an account that they may be without the counter for."""
-        for account in self.dirty.values():
-            window = account.windows.get(int(self.now.timestamp() // account.length))
-            if window is None or self._told(window) < CONTESTED * account.limit:
+        for account in self.unsettled.values():
+            window = account.windows.get(int(self.now.timestamp() // account.window_seconds))
+            if window is None or self._estimated_total(window) < CONTESTED_SHARE * account.limit:
                 continue
-            units = window.spent - window.reported
-            if units >= LEAST:
-                window.reported = window.spent
-                self.out.append(ReportUse(account.number, window.number, self._over(window), units))
-
-    def _told(self, window: Window) -> float:
+            units = window.spent - window.reported_usage
+            if units >= MIN_LEASE:
+                window.reported_usage = window.spent
+                self.actions.append(
+                    ReportUsage(account.number, window.number, self._window_end(window), units)
+                )
+
+    def _estimated_total(self, window: Window) -> float:
         """The total, as far as this ingress can know it, what it holds ahead left out."""
-        if window.alone:
-            return max(window.seen, self._told_by_rights(window))
-        if window.kept <= 0:
-            return window.seen
-        return window.base_told + (window.seen - window.base_seen) / (1 - window.kept)
-
-    def _told_by_rights(self, window: Window) -> float:
+        if window.detached:
+            return max(window.seen_total, self._total_by_rights(window))
+        if window.reserved_share <= 0:
+            return window.seen_total
+        return window.base_estimate + (window.seen_total - window.base_seen_total) / (
+            1 - window.reserved_share
+        )
+
+    def _total_by_rights(self, window: Window) -> float:
         """The total, as if all used their rights as far as this ingress did."""
-        free, all_rights = window.account.limit - window.before, window.used + window.rights
+        free, all_rights = (
+            window.account.limit - window.used_before_detach,
+            window.used_since_detach + window.rights,
+        )
         if all_rights <= 1e-9 or free <= 0:
             # While the counter is in trouble, what the quota gives back since is the others' too, unseen: as
             # if all used it alike. For one late answer the others go on by what they hear.
-            part = self._part(window.account) if self.counter.in_trouble else 1.0
-            return max(window.before, window.account.limit) + window.used / part
-        return window.before + max(0.0, free * window.used / all_rights, window.used)
+            share = self._even_share(window.account) if self.counter_health.in_trouble else 1.0
+            return max(window.used_before_detach, window.account.limit) + window.used_since_detach / share
+        return window.used_before_detach + max(
+            0.0, free * window.used_since_detach / all_rights, window.used_since_detach
+        )
 
-    def _rebase(self, window: Window) -> None:
+    def _update_reservation(self, window: Window) -> None:
         """Leaves those that cannot ask the counter their parts, and no longer once they can."""
-        kept = self._kept(window.account)
-        if kept == window.kept:
+        reserved_share = self._reserved_share(window.account)
+        if reserved_share == window.reserved_share:
             return
-        told = self._told(window)
-        window.base_seen = window.seen
-        window.base_told = told if kept > 0 else window.base_seen
-        window.kept = kept
+        estimate = self._estimated_total(window)
+        window.base_seen_total = window.seen_total
+        window.base_estimate = estimate if reserved_share > 0 else window.base_seen_total
+        window.reserved_share = reserved_share
 
-    def _kept(self, account: Account) -> float:
+    def _reserved_share(self, account: Account) -> float:
         """The parts of this account's other ingresses that are without the counter, or are not heard."""
-        away = 0
-        for n in self._members(account):
+        missing = 0
+        for n in self._account_ingresses(account):
             peer = self.peers.get(n)
-            if peer is None or peer.heard is None:
+            if peer is None or peer.heard_at is None:
                 continue  # this one, or one that has never been heard: there may be none
-            silent = self.now - peer.heard
-            unheard = silent > MESSAGE_LIFE and self.rules.ingresses <= SMALL_FLEET
-            away += silent < RESERVED and (peer.down or unheard)
-        return min(0.95, away * self._part(account))
+            silence = self.now - peer.heard_at
+            unheard = silence > MESSAGE_MAX_AGE and self.config.fleet_size <= SMALL_FLEET_SIZE
+            missing += silence < RESERVATION_TIME and (peer.without_counter or unheard)
+        return min(0.95, missing * self._even_share(account))
 
     # --- asks ----------------------------------------------------------------------------------------------
-    def _serve(self, window: Window) -> None:
+    def _answer_counts(self, window: Window) -> None:
         """Answers what can be, in order; calls the counter where nothing else will do."""
-        while window.asks:
-            ask = window.asks[0]
-            if not (window.alone or self._covers(window, ask)):
-                if not self.counter.in_trouble:
-                    if not window.token and self.counter.may_call(self.now):
+        while window.pending_counts:
+            pending_count = window.pending_counts[0]
+            if not (window.detached or self._can_answer(window, pending_count)):
+                if not self.counter_health.in_trouble:
+                    if not window.call_token and self.counter_health.may_call(self.now):
                         self._charge(window)
                         return
-                    if self.now - ask.at < LATE:
+                    if self.now - pending_count.asked_at < LATE_AFTER:
                         return
-                self._leave(window)
-            window.asks.popleft()
-            before = self._told(window)
-            self._spend(window, ask.amount)
-            self.alone_asks += window.alone
+                self._detach(window)
+            window.pending_counts.popleft()
+            estimate = self._estimated_total(window)
+            self._spend(window, pending_count.amount)
+            self.detached_counts += window.detached
             # Guards against a fall by grants that the decisions would take for a counter that forgot.
-            least = window.last + min(0.0, ask.amount) - window.account.spread
+            floor = window.last_answer + min(0.0, pending_count.amount) - window.account.ingress_count
             # What stands for others is told with the next ask: this one may yet be refused and handed back,
             # and the decisions would take that use of others for gone for good.
-            now = before + ask.amount if window.alone and ask.amount > 0 else self._told(window)
-            window.last = max(least, now)
-            self.out.append(TellTotal(window.name, window.last, NOTHING))
-
-    def _covers(self, window: Window, ask: Ask) -> bool:
+            total = (
+                estimate + pending_count.amount
+                if window.detached and pending_count.amount > 0
+                else self._estimated_total(window)
+            )
+            window.last_answer = max(floor, total)
+            self.actions.append(AnswerCount(window.name, window.last_answer, NO_DELAY))
+
+    def _can_answer(self, window: Window, pending_count: PendingCount) -> bool:
         """Whether no call is needed: it hands back, is paid for by a lease, or reads what is fresh."""
-        if ask.amount < 0:
-            return window.total is not None
-        if ask.amount > 0:
-            paid = window.held - window.pending >= ask.amount - 1e-9
-            return window.total is not None and (paid or self._full(window, ask.amount))
-        over = (window.number + 1) * window.account.length <= self.now.timestamp()
-        age = self.now - window.fresh if window.fresh is not None else None
-        return age is not None and age <= (SETTLED if over else RECENTLY_READ)
-
-    def _full(self, window: Window, amount: float) -> bool:
+        if pending_count.amount < 0:
+            return window.counter_total is not None
+        if pending_count.amount > 0:
+            is_leased = window.held - window.unconfirmed >= pending_count.amount - 1e-9
+            return window.counter_total is not None and (
+                is_leased or self._is_known_full(window, pending_count.amount)
+            )
+        ended = (window.number + 1) * window.account.window_seconds <= self.now.timestamp()
+        age = self.now - window.read_at if window.read_at is not None else None
+        return age is not None and age <= (SETTLED_READ_AGE if ended else FRESH_READ_AGE)
+
+    def _is_known_full(self, window: Window, amount: float) -> bool:
         """Whether a total that was just heard leaves no room for it: that is told without a call.
 
         Where the decisions let it in all the same, it is charged soon after.
         """
-        if window.fresh is None or self.now - window.fresh > JUST_READ or window.token:
+        if window.read_at is None or self.now - window.read_at > JUST_READ_AGE or window.call_token:
             return False
-        return self._used(window) + amount > window.account.limit
+        return self._weighted_usage(window) + amount > window.account.limit
 
-    def _used(self, window: Window) -> float:
+    def _weighted_usage(self, window: Window) -> float:
         """Of both windows, weighted as the decisions do."""
-        before, used = window.account.windows.get(window.number - 1), self._told(window)
-        if before is not None:
-            used += self._told(before) * window.seconds_left(self.now) / window.account.length
-        return used
+        previous, usage = window.account.windows.get(window.number - 1), self._estimated_total(window)
+        if previous is not None:
+            usage += (
+                self._estimated_total(previous)
+                * window.seconds_left(self.now)
+                / window.account.window_seconds
+            )
+        return usage
 
     def _spend(self, window: Window, amount: float) -> None:
         account = window.account
         window.spent += amount
         if amount:
-            self.dirty[account.number] = account
+            self.unsettled[account.number] = account
         if amount > 0:
-            account.spend(amount, self.now)
-        if window.alone:
+            account.record_spending(amount, self.now)
+        if window.detached:
             window.rights -= amount
-            window.used += amount
-            if amount > 0 and self.rules.grants and window.expected_use(self.now) > window.rights:
+            window.used_since_detach += amount
+            if amount > 0 and self.config.grant_rights and window.expected_usage(self.now) > window.rights:
                 # What will not do until the window is over is asked of the others before it is gone.
-                account.need_until = self.now + NEED_LIFE
-                self.wanting[account.number] = account
+                account.need_until = self.now + NEED_DURATION
+                self.accounts_in_need[account.number] = account
 
     def _charge(self, window: Window) -> None:
         """One call for all that waits, what was spent alone, and a lease ahead where the account is busy."""
-        wanted = sum(a.amount for a in window.asks if a.amount > 0)
-        amount = wanted - window.held
-        if wanted > 0:
-            amount += self._ahead(window, wanted / sum(a.amount > 0 for a in window.asks))
-        window.token = self._call(window.name, amount, window.life, window)
-        window.out = amount
+        waiting_units = sum(a.amount for a in window.pending_counts if a.amount > 0)
+        amount = waiting_units - window.held
+        if waiting_units > 0:
+            amount += self._lease_units(
+                window, waiting_units / sum(a.amount > 0 for a in window.pending_counts)
+            )
+        window.call_token = self._call_counter(window.name, amount, window.ttl, window)
+        window.call_amount = amount
         window.charged += amount
-        window.pending += amount
+        window.unconfirmed += amount
 
-    def _ahead(self, window: Window, each: float) -> float:
+    def _lease_units(self, window: Window, request_units: float) -> float:
         """Units to hold for the next requests: whole ones of that size, within a part of what is free."""
         account = window.account
-        if not self.rules.ahead or account.demand_at is None:
+        if not self.config.lease_ahead or account.demand_at is None:
             return 0.0
-        pace, left = account.demand_rate(self.now), window.seconds_left(self.now)
-        free = PART * max(0.0, account.limit - self._used(window)) * self._part(account)
-        count = min(pace * min(TERM.total_seconds(), left), free) // each
-        return count * each if count >= LEAST else 0.0
-
-    def _call(self, name: int, amount: float, life: timedelta, about: Window | Ask | None) -> int:
-        self.token += 1
-        self.calls += 1
-        self.tokens[self.token] = about
-        self.counter.called(self.token, self.now)
-        self.out.append(CallCounter(self.token, name, amount, life))
-        return self.token
-
-    def _next(self) -> None:
+        demand_rate, seconds_left = account.demand_rate(self.now), window.seconds_left(self.now)
+        free = (
+            LEASED_SHARE * max(0.0, account.limit - self._weighted_usage(window)) * self._even_share(account)
+        )
+        count = min(demand_rate * min(LEASE_TERM.total_seconds(), seconds_left), free) // request_units
+        return count * request_units if count >= MIN_LEASE else 0.0
+
+    def _call_counter(
+        self, name: int, amount: float, ttl: timedelta, subject: Window | PendingCount | None
+    ) -> int:
+        self.last_token += 1
+        self.counter_calls += 1
+        self.calls_in_flight[self.last_token] = subject
+        self.counter_health.record_call(self.last_token, self.now)
+        self.actions.append(CallCounter(self.last_token, name, amount, ttl))
+        return self.last_token
+
+    def _serve_waiting(self) -> None:
         """A call has ended: those that waited for its turn."""
-        for account in list(self.dirty.values()):
+        for account in list(self.unsettled.values()):
             for window in account.windows.values():
-                if window.asks and not window.token:
-                    self._serve(window)
+                if window.pending_counts and not window.call_token:
+                    self._answer_counts(window)
 
     # --- the counter ---------------------------------------------------------------------------------------
-    def _miss(self) -> None:
-        if self.counter.missed(self.now):
-            self.out.append(LogLine("counter: not answering; deciding by rights"))
+    def _record_miss(self) -> None:
+        if self.counter_health.record_miss(self.now):
+            self.actions.append(LogLine("counter: not answering; deciding by rights"))
             for account in list(self.accounts.values()):
                 for window in account.windows.values():
-                    self._leave(window)
-                    self._serve(window)
+                    self._detach(window)
+                    self._answer_counts(window)
 
     def _settle(self) -> None:
         """What was spent alone is charged, what is held and not used is handed back; idle accounts rest."""
-        for account in list(self.dirty.values()):
+        for account in list(self.unsettled.values()):
             now = self.now.timestamp()
-            current = int(now // account.length)
-            rest = account.last is None or self.now - account.last > TERM
+            current = int(now // account.window_seconds)
+            is_idle = account.last_spent_at is None or self.now - account.last_spent_at > LEASE_TERM
             for window in list(account.windows.values()):
-                if window.token or not self.counter.may_call(self.now):
+                if window.call_token or not self.counter_health.may_call(self.now):
                     continue
-                if window.asks:
-                    self._serve(window)
-                elif self._just_charged(window):
+                if window.pending_counts:
+                    self._answer_counts(window)
+                elif self._can_charge_later(window):
                     pass  # more may follow at once, and go with it
-                elif window.held < -1e-6 or (window.held > 1e-6 and (rest or window.number < current)):
+                elif window.held < -1e-6 or (window.held > 1e-6 and (is_idle or window.number < current)):
                     # What is left of a lease is a matter of indifference where nobody comes near the quota.
-                    if window.held < 0 or self._told(window) + window.held > CONTESTED * account.limit:
+                    if (
+                        window.held < 0
+                        or self._estimated_total(window) + window.held > CONTESTED_SHARE * account.limit
+                    ):
                         self._charge(window)
-                        self.dirty.move_to_end(account.number)  # calls may be few: each account in its turn
+                        self.unsettled.move_to_end(
+                            account.number
+                        )  # calls may be few: each account in its turn
                     else:
                         window.charged = window.spent
-            if all(not w.asks and not w.token and abs(w.held) <= 1e-6 for w in account.windows.values()) or (
-                current > max(account.windows, default=current) + 2
-            ):
-                self.dirty.pop(account.number, None)
+            if all(
+                not w.pending_counts and not w.call_token and abs(w.held) <= 1e-6
+                for w in account.windows.values()
+            ) or (current > max(account.windows, default=current) + 2):
+                self.unsettled.pop(account.number, None)
 
-    def _just_charged(self, window: Window) -> bool:
+    def _can_charge_later(self, window: Window) -> bool:
         """Whether it owes units since a total that was heard so lately that a call for them can wait."""
-        if self.counter.in_trouble or window.fresh is None:
+        if self.counter_health.in_trouble or window.read_at is None:
             return False
-        return window.held < -1e-6 and self.now - window.fresh < JUST_READ
+        return window.held < -1e-6 and self.now - window.read_at < JUST_READ_AGE
 
     # --- messages -----------------------------------------------------------------------------------------
-    def _needed(self, peer: int, life: int, need: Need) -> None:
+    def _handle_need(self, peer: int, incarnation: int, need: Need) -> None:
         """Another ingress lacks rights: it gets a part of those that this one has no use for."""
-        if not self.rules.grants or not 0 <= need.tariff < len(self.rules.plans):
+        if not self.config.grant_rights or not 0 <= need.plan_index < len(self.config.plans):
             return
-        account = self._account(need.account, need.tariff, need.spread, need.first)
-        if account is None or not {self.rules.me, peer} <= set(self._members(account)):
+        account = self._get_account(need.account, need.plan_index, need.ingress_count, need.first_ingress)
+        if account is None or not {self.config.own_index, peer} <= set(self._account_ingresses(account)):
             return
-        number = int(self.now.timestamp() // account.length)
+        number = int(self.now.timestamp() // account.window_seconds)
         if need.window != number % 256:
             return
-        window = self._open(account, number)
-        units = min(need.units, SPARE * (window.rights - window.expected_use(self.now))) // 0.1 * 0.1
-        if not window.alone or units < 0.5:
+        window = self._open_window(account, number)
+        units = (
+            min(need.units, GRANTED_SHARE * (window.rights - window.expected_usage(self.now))) // 0.1 * 0.1
+        )
+        if not window.detached or units < 0.5:
             return
-        key = peer, life
-        window.granted[key] = window.granted.get(key, 0.0) + units
+        key = peer, incarnation
+        window.granted_to[key] = window.granted_to.get(key, 0.0) + units
         window.rights -= units
-        self.given += units
-        grant = Grant(account.number, need.window, window.granted[key], life)
-        grants = self.peers[peer].grants
+        self.units_granted += units
+        grant = Grant(account.number, need.window, window.granted_to[key], incarnation)
+        grants = self.peers[peer].pending_grants
         grants[:] = [g for g in grants if (g[0].account, g[0].window) != (grant.account, grant.window)]
-        grants.append((grant, REPEATS))
+        grants.append((grant, GRANT_REPEATS))
 
-    def _granted(self, peer: int, life: int, grant: Grant) -> None:
+    def _handle_grant(self, peer: int, incarnation: int, grant: Grant) -> None:
         account = self.accounts.get(grant.account)
-        if account is None or grant.life != self.life:
+        if account is None or grant.receiver_incarnation != self.incarnation:
             return  # to a former life of this ingress, which may have spent it
         for window in account.windows.values():
-            if window.number % 256 == grant.window and window.alone:
-                more = grant.units - window.received.get((peer, life), 0.0)
-                if more > 0:
-                    window.received[peer, life] = grant.units
-                    window.rights += more
-                    self.taken += more
-
-    def _speak(self) -> None:
-        needs = self._needs()
+            if window.number % 256 == grant.window and window.detached:
+                new_units = grant.units - window.received_from.get((peer, incarnation), 0.0)
+                if new_units > 0:
+                    window.received_from[peer, incarnation] = grant.units
+                    window.rights += new_units
+                    self.units_received += new_units
+
+    def _send_messages(self) -> None:
+        needs = self._collect_needs()
         for n, peer in self.peers.items():
-            since = self.now - peer.said if peer.said is not None else HEARTBEAT * 10
-            mine = tuple(need for need, members in needs if n in members)[:MOST_NEEDS]
-            pause = max(LEAST_PAUSE, timedelta(milliseconds=12) * len(self.peers))
-            beat = max(HEARTBEAT, pause) if len(self.peers) < SMALL_FLEET else 4 * max(HEARTBEAT, pause)
-            if since < (pause if peer.grants or mine else beat):
+            elapsed = self.now - peer.sent_at if peer.sent_at is not None else HEARTBEAT_INTERVAL * 10
+            own_needs = tuple(need for need, members in needs if n in members)[:MAX_NEEDS]
+            min_interval = max(MIN_SEND_INTERVAL, timedelta(milliseconds=12) * len(self.peers))
+            heartbeat = (
+                max(HEARTBEAT_INTERVAL, min_interval)
+                if len(self.peers) < SMALL_FLEET_SIZE
+                else 4 * max(HEARTBEAT_INTERVAL, min_interval)
+            )
+            if elapsed < (min_interval if peer.pending_grants or own_needs else heartbeat):
                 continue
-            peer.said, self.number = self.now, self.number + 1
-            grants = tuple(g for g, _ in peer.grants[:MOST_GRANTS])
-            later = [(g, k - 1) for g, k in peer.grants[:MOST_GRANTS] if k > 1]
-            peer.grants = peer.grants[MOST_GRANTS:] + later
-            down = self.counter.in_trouble
-            message = Message(self.rules.me, self.life, self.number, down, mine, grants)
-            self.out.append(SendMessage(n, message))
-
-    def _needs(self) -> list[tuple[Need, list[int]]]:
-        found = []
-        for account in list(self.wanting.values()):
-            number = int(self.now.timestamp() // account.length)
+            peer.sent_at, self.last_sequence = self.now, self.last_sequence + 1
+            grants = tuple(g for g, _ in peer.pending_grants[:MAX_GRANTS])
+            repeats = [(g, k - 1) for g, k in peer.pending_grants[:MAX_GRANTS] if k > 1]
+            peer.pending_grants = peer.pending_grants[MAX_GRANTS:] + repeats
+            without_counter = self.counter_health.in_trouble
+            message = Message(
+                self.config.own_index,
+                self.incarnation,
+                self.last_sequence,
+                without_counter,
+                own_needs,
+                grants,
+            )
+            self.actions.append(SendMessage(n, message))
+
+    def _collect_needs(self) -> list[tuple[Need, list[int]]]:
+        needs = []
+        for account in list(self.accounts_in_need.values()):
+            number = int(self.now.timestamp() // account.window_seconds)
             window = account.windows.get(number)
-            over = account.need_until is None or self.now > account.need_until
-            if over or window is None or not window.alone:
-                del self.wanting[account.number]
+            expired = account.need_until is None or self.now > account.need_until
+            if expired or window is None or not window.detached:
+                del self.accounts_in_need[account.number]
                 continue
-            units = round(min(account.limit, window.expected_use(self.now)) - window.rights, 1)
+            units = round(min(account.limit, window.expected_usage(self.now)) - window.rights, 1)
             if units >= 0.5:
-                whose = account.number, account.tariff, account.first, account.spread
-                found.append((Need(*whose, number % 256, units), self._members(account)))
-        return found
+                account_fields = (
+                    account.number,
+                    account.plan_index,
+                    account.first_ingress,
+                    account.ingress_count,
+                )
+                needs.append((Need(*account_fields, number % 256, units), self._account_ingresses(account)))
+        return needs
--- a/opalgauge/leases/messages.py
+++ b/opalgauge/leases/messages.py
@@ -12,9 +12,9 @@
 from opalgauge.memory.signed_datagram import decode, sign
 
 VERSION = b"\x5a\x11"
-MOST_NEEDS, MOST_GRANTS = 5, 4  # of one message: the longest of each still fit
-MOST_UNITS = 1e6
-TENTHS = 10
+MAX_NEEDS, MAX_GRANTS = 5, 4  # of one message: the longest of each still fit
+MAX_UNITS = 1e6
+TENTHS_PER_UNIT = 10
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,9 +22,9 @@
     """Its account lacks units at the sender. `window`: its number, modulo 256."""
 
     account: int
-    tariff: int
-    first: int
-    spread: int
+    plan_index: int
+    first_ingress: int
+    ingress_count: int
     window: int
     units: float
 
@@ -36,7 +36,7 @@
     account: int
     window: int
     units: float
-    life: int
+    receiver_incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,44 +44,51 @@
     """`down`: the sender is without the quota counter. `number` grows with each message of a life."""
 
     sender: int
-    life: int
-    number: int
-    down: bool
+    incarnation: int
+    sequence: int
+    without_counter: bool
     needs: tuple[Need, ...] = ()
     grants: tuple[Grant, ...] = ()
 
 
-class _Wire(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+class _WireMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     sender: int
-    life: int
-    number: int
-    down: bool
+    incarnation: int
+    sequence: int
+    without_counter: bool
     needs: list[tuple[int, int, int, int, int, int]]
     grants: list[tuple[int, int, int, int]]
 
 
-def write(message: Message, secret: bytes = b"") -> bytes:
+def encode_message(message: Message, secret: bytes = b"") -> bytes:
     needs = [
-        (n.account, n.tariff, n.first, n.spread, n.window, round(n.units * TENTHS)) for n in message.needs
+        (n.account, n.plan_index, n.first_ingress, n.ingress_count, n.window,
+         round(n.units * TENTHS_PER_UNIT))
+        for n in message.needs
     ]  # fmt: skip
-    grants = [(g.account, g.window, round(g.units * TENTHS), g.life) for g in message.grants]
-    wire = _Wire(message.sender, message.life, message.number, message.down, needs, grants)
-    return sign(VERSION, msgspec.msgpack.encode(wire), secret)
+    grants = [
+        (g.account, g.window, round(g.units * TENTHS_PER_UNIT), g.receiver_incarnation)
+        for g in message.grants
+    ]
+    body = _WireMessage(
+        message.sender, message.incarnation, message.sequence, message.without_counter, needs, grants
+    )
+    return sign(VERSION, msgspec.msgpack.encode(body), secret)
 
 
-def read(data: bytes, secret: bytes = b"") -> Message | None:
+def decode_message(data: bytes, secret: bytes = b"") -> Message | None:
     """A peer's message; None where it is torn, foreign or says what cannot be. Never raises."""
-    wire = decode(data, VERSION, secret, _Wire)
-    if wire is None:
+    body = decode(data, VERSION, secret, _WireMessage)
+    if body is None:
         return None
     sound = (
-        wire.sender >= 0 and 0 <= wire.life < 2**53 and 0 <= wire.number < 2**53
-        and len(wire.needs) <= MOST_NEEDS and len(wire.grants) <= MOST_GRANTS
-        and all(min(n) >= 0 and n[3] >= 1 and n[4] < 256 and n[5] <= MOST_UNITS for n in wire.needs)
-        and all(min(g) >= 0 and g[1] < 256 and g[2] <= MOST_UNITS for g in wire.grants)
+        body.sender >= 0 and 0 <= body.incarnation < 2**53 and 0 <= body.sequence < 2**53
+        and len(body.needs) <= MAX_NEEDS and len(body.grants) <= MAX_GRANTS
+        and all(min(n) >= 0 and n[3] >= 1 and n[4] < 256 and n[5] <= MAX_UNITS for n in body.needs)
+        and all(min(g) >= 0 and g[1] < 256 and g[2] <= MAX_UNITS for g in body.grants)
     )  # fmt: skip
     if not sound:
         return None
-    needs = tuple(Need(a, t, f, s, w, u / TENTHS) for a, t, f, s, w, u in wire.needs)
-    grants = tuple(Grant(a, w, u / TENTHS, life) for a, w, u, life in wire.grants)
-    return Message(wire.sender, wire.life, wire.number, wire.down, needs, grants)
+    needs = tuple(Need(a, t, f, s, w, u / TENTHS_PER_UNIT) for a, t, f, s, w, u in body.needs)
+    grants = tuple(Grant(a, w, u / TENTHS_PER_UNIT, incarnation) for a, w, u, incarnation in body.grants)
+    return Message(body.sender, body.incarnation, body.sequence, body.without_counter, needs, grants)
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -83,46 +83,46 @@
     wire = Peers(peering.peers, asyncio.get_running_loop().time)
     parts: list[Part] = []
     if peering.zones:
-        from opalgauge.zones.channel import Channel as ZoneChannel
-        from opalgauge.zones.watch import Rules as ZoneRules
+        from opalgauge.zones.driver import ZoneDriver
+        from opalgauge.zones.watch import ZoneConfig
 
         usual = tuple(timedelta(seconds=c.aim / 5) for c in s.classes)
         cold = timedelta(seconds=s.slow_start_duration)
-        zones = ZoneRules(
+        zones = ZoneConfig(
             config.zones, s.gateways, s.gateway_index, usual, cold, s.slow_start_share, peering.acts
         )
-        judge = ZoneChannel(zones, wire, peering.secret, seed, exchange.report, clock.now, log)
-        exchange.do[fx.ReportAttempt] = judge.seen
-        exchange.do[fx.ReportServers] = judge.listed
+        judge = ZoneDriver(zones, wire, peering.secret, seed, exchange.report, clock.now, log)
+        exchange.do[fx.ReportAttempt] = judge.on_attempt
+        exchange.do[fx.ReportServers] = judge.on_servers
         parts.append(judge)
     holder = None
     if config.house.uses_leases:
-        from opalgauge.leases.channel import Channel as LeaseChannel
-        from opalgauge.leases.holder import Rules as LeaseRules
+        from opalgauge.leases.driver import LeaseDriver
+        from opalgauge.leases.holder import LeaseConfig
 
         plans = tuple((p.rate, p.burst) for p in s.plans)
         ahead, grants = peering.leases in ("ahead", "on"), peering.leases == "on"
-        leases = LeaseRules(s.gateway_index, s.gateways, plans, ahead, grants)
-        holder = LeaseChannel(leases, wire, peering.secret, seed, exchange.report, clock.now, log)
-        exchange.do[fx.ReportAccount] = holder.met
-        exchange.do[fx.AskLeaseHolder] = holder.asked
-        exchange.do[fx.ReportCounterResult] = holder.counted
+        leases = LeaseConfig(s.gateway_index, s.gateways, plans, ahead, grants)
+        holder = LeaseDriver(leases, wire, peering.secret, seed, exchange.report, clock.now, log)
+        exchange.do[fx.ReportAccount] = holder.on_account
+        exchange.do[fx.AskLeaseHolder] = holder.on_count
+        exchange.do[fx.ReportCounterResult] = holder.on_counter_result
         parts.append(holder)
     waits = None
     if peering.replicate:
-        from opalgauge.replica.channel import Channel as ReplicaChannel
+        from opalgauge.replica.driver import ReplicaDriver
         from starlinggap.snapshot import active_ejections
 
         gateway = exchange.reducer.gateway
-        copy = ReplicaChannel(
+        copy = ReplicaDriver(
             s.gateway_index, s.gateways, wire, peering.secret, seed, exchange.report, clock.now,
             lambda: active_ejections(gateway, clock.now().timestamp()),
         )  # fmt: skip
-        exchange.do[fx.ReplicateBan] = copy.marked
+        exchange.do[fx.ReplicateBan] = copy.on_ban
         if holder is not None:
-            holder.spent, holder.leases.heard_of = copy.spent, copy.heard_of
+            holder.on_usage, holder.holder.replicated_usage = copy.add_usage, copy.usage
         parts.append(copy)
-        waits = copy.ready
+        waits = copy.wait_caught_up
     return Joined(wire, parts, waits)
 
 
--- a/opalgauge/replica/clock.py
+++ b/opalgauge/replica/clock.py
@@ -8,28 +8,28 @@
 
 from datetime import UTC, datetime, timedelta
 
-EPOCH = datetime.fromtimestamp(0, UTC)
+UNIX_EPOCH = datetime.fromtimestamp(0, UTC)
 MICROSECOND = timedelta(microseconds=1)
-MOST_AHEAD = timedelta(hours=1)  # a stamp that is further ahead is a mistake, and would outlast all others
+MAX_AHEAD = timedelta(hours=1)  # a stamp that is further ahead is a mistake, and would outlast all others
 
 
-class Clock:
+class HybridClock:
     """One ingress's. Stamps are microseconds since 1970."""
 
     def __init__(self) -> None:
         self.last = 0
 
-    def stamp(self, now: datetime) -> int:
-        self.last = max(self.last + 1, (now - EPOCH) // MICROSECOND)
+    def next_stamp(self, now: datetime) -> int:
+        self.last = max(self.last + 1, (now - UNIX_EPOCH) // MICROSECOND)
         return self.last
 
-    def heard(self, stamp: int, now: datetime) -> bool:
+    def observe(self, stamp: int, now: datetime) -> bool:
         """Takes a stamp of another's; False: it cannot be meant, and nothing is to be made of it."""
-        if stamp < 0 or stamp > (now + MOST_AHEAD - EPOCH) // MICROSECOND:
+        if stamp < 0 or stamp > (now + MAX_AHEAD - UNIX_EPOCH) // MICROSECOND:
             return False
         self.last = max(self.last, stamp)
         return True
 
 
-def when(stamp: int) -> datetime:
-    return EPOCH + stamp * MICROSECOND
+def to_datetime(stamp: int) -> datetime:
+    return UNIX_EPOCH + stamp * MICROSECOND
--- a/opalgauge/replica/crdt.py
+++ b/opalgauge/replica/crdt.py
@@ -15,114 +15,125 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Register:
+class LwwRegister:
     """The value that was set last. Of two set at one stamp the greater holds: a ban before its lifting."""
 
     stamp: int = 0
     value: int = 0
 
-    def merge(self, other: Register) -> Register:
-        return max(self, other, key=lambda r: (r.stamp, r.value))
+    def merge(self, other: LwwRegister) -> LwwRegister:
+        return max(self, other, key=lambda register: (register.stamp, register.value))
 
-    def wire(self) -> list[Any]:
+    def to_wire(self) -> list[Any]:
         return [self.stamp, self.value]
 
     @staticmethod
-    def read(told: Any) -> Register:
-        stamp, value = told
-        return Register(whole(stamp), whole(value))
+    def from_wire(data: Any) -> LwwRegister:
+        stamp, value = data
+        return LwwRegister(check_int(stamp), check_int(value))
 
-    def pieces(self, most: int) -> Iterator[Register]:
+    def split(self, max_rows: int) -> Iterator[LwwRegister]:
         yield self
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class GrowOnlyCounter:
     """A count to which each ingress adds its own part, by its life: a new life begins a part of its own."""
 
-    parts: dict[Source, int] = field(default_factory=dict)
+    amounts: dict[Source, int] = field(default_factory=dict)
 
-    def add(self, source: Source, amount: int) -> Parts:
-        return Parts({**self.parts, source: self.parts.get(source, 0) + amount})
+    def add(self, source: Source, amount: int) -> GrowOnlyCounter:
+        return GrowOnlyCounter({**self.amounts, source: self.amounts.get(source, 0) + amount})
 
     @property
     def total(self) -> int:
-        return sum(self.parts.values())
+        return sum(self.amounts.values())
 
-    def merge(self, other: Parts) -> Parts:
-        both = dict(self.parts)
-        for source, amount in other.parts.items():
-            both[source] = max(both.get(source, 0), amount)
-        return Parts(both)
+    def merge(self, other: GrowOnlyCounter) -> GrowOnlyCounter:
+        merged = dict(self.amounts)
+        for source, amount in other.amounts.items():
+            merged[source] = max(merged.get(source, 0), amount)
+        return GrowOnlyCounter(merged)
 
-    def wire(self) -> list[Any]:
-        return [[*source, amount] for source, amount in sorted(self.parts.items())]
+    def to_wire(self) -> list[Any]:
+        return [[*source, amount] for source, amount in sorted(self.amounts.items())]
 
     @staticmethod
-    def read(told: Any) -> Parts:
-        return Parts({(whole(who), whole(life)): whole(amount) for who, life, amount in told})
+    def from_wire(data: Any) -> GrowOnlyCounter:
+        return GrowOnlyCounter(
+            {
+                (check_int(ingress), check_int(incarnation)): check_int(amount)
+                for ingress, incarnation, amount in data
+            }
+        )
 
-    def pieces(self, most: int) -> Iterator[Parts]:
-        rows = sorted(self.parts.items())
-        for n in range(0, max(1, len(rows)), most):
-            yield Parts(dict(rows[n : n + most]))
+    def split(self, max_rows: int) -> Iterator[GrowOnlyCounter]:
+        rows = sorted(self.amounts.items())
+        for n in range(0, max(1, len(rows)), max_rows):
+            yield GrowOnlyCounter(dict(rows[n : n + max_rows]))
 
 
 @dataclass(frozen=True, slots=True)
-class Tags:
+class ObservedRemoveSet:
     """An observed-remove set of what was said of one thing, each with the stamp at which it ages out.
 
     A removal takes away what its maker had seen, and nothing that was said meanwhile.
     """
 
-    said: dict[Tag, int] = field(default_factory=dict)
-    taken_back: frozenset[Tag] = frozenset()
+    added: dict[Tag, int] = field(default_factory=dict)
+    removed: frozenset[Tag] = frozenset()
 
-    def say(self, tag: Tag, until: int) -> Tags:
-        return Tags({**self.said, tag: until}, self.taken_back)
+    def add(self, tag: Tag, until: int) -> ObservedRemoveSet:
+        return ObservedRemoveSet({**self.added, tag: until}, self.removed)
 
-    def take_back(self, tags: frozenset[Tag]) -> Tags:
-        return Tags(self.said, self.taken_back | (tags & self.said.keys()))
+    def remove(self, tags: frozenset[Tag]) -> ObservedRemoveSet:
+        return ObservedRemoveSet(self.added, self.removed | (tags & self.added.keys()))
 
-    def holds(self, now: int) -> dict[Tag, int]:
-        return {t: until for t, until in self.said.items() if t not in self.taken_back and until > now}
+    def active(self, now: int) -> dict[Tag, int]:
+        return {tag: until for tag, until in self.added.items() if tag not in self.removed and until > now}
 
-    def merge(self, other: Tags) -> Tags:
-        both = dict(self.said)
-        for tag, until in other.said.items():
-            both[tag] = max(both.get(tag, 0), until)
-        return Tags(both, self.taken_back | other.taken_back)
+    def merge(self, other: ObservedRemoveSet) -> ObservedRemoveSet:
+        merged = dict(self.added)
+        for tag, until in other.added.items():
+            merged[tag] = max(merged.get(tag, 0), until)
+        return ObservedRemoveSet(merged, self.removed | other.removed)
 
-    def wire(self) -> list[Any]:
-        return [[*tag, until, int(tag in self.taken_back)] for tag, until in sorted(self.said.items())]
+    def to_wire(self) -> list[Any]:
+        return [[*tag, until, int(tag in self.removed)] for tag, until in sorted(self.added.items())]
 
     @staticmethod
-    def read(told: Any) -> Tags:
-        rows = [((whole(who), whole(at)), whole(until), whole(back)) for who, at, until, back in told]
-        return Tags({tag: until for tag, until, _ in rows}, frozenset(tag for tag, _, back in rows if back))
+    def from_wire(data: Any) -> ObservedRemoveSet:
+        rows = [
+            ((check_int(ingress), check_int(stamp)), check_int(until), check_int(is_removed))
+            for ingress, stamp, until, is_removed in data
+        ]
+        return ObservedRemoveSet(
+            {tag: until for tag, until, _ in rows},
+            frozenset(tag for tag, _, is_removed in rows if is_removed),
+        )
 
-    def pieces(self, most: int) -> Iterator[Tags]:
-        rows = sorted(self.said.items())
-        for n in range(0, max(1, len(rows)), most):
-            some = dict(rows[n : n + most])
-            yield Tags(some, self.taken_back & some.keys())
+    def split(self, max_rows: int) -> Iterator[ObservedRemoveSet]:
+        rows = sorted(self.added.items())
+        for n in range(0, max(1, len(rows)), max_rows):
+            chunk = dict(rows[n : n + max_rows])
+            yield ObservedRemoveSet(chunk, self.removed & chunk.keys())
 
 
-Item: TypeAlias = Register | Parts | Tags
+Item: TypeAlias = LwwRegister | GrowOnlyCounter | ObservedRemoveSet
 
 
 def merge(one: Item, other: Item) -> Item:
     """Raises ValueError where they are of different types."""
-    if isinstance(one, Register) and isinstance(other, Register):
+    if isinstance(one, LwwRegister) and isinstance(other, LwwRegister):
         return one.merge(other)
-    if isinstance(one, Parts) and isinstance(other, Parts):
+    if isinstance(one, GrowOnlyCounter) and isinstance(other, GrowOnlyCounter):
         return one.merge(other)
-    if isinstance(one, Tags) and isinstance(other, Tags):
+    if isinstance(one, ObservedRemoveSet) and isinstance(other, ObservedRemoveSet):
         return one.merge(other)
     raise ValueError("items of different types")
 
 
-def whole(value: Any) -> int:
+def check_int(value: Any) -> int:
     """Guards every copy against a figure that is none. Raises ValueError."""
     if type(value) is not int or not 0 <= value < 2**60:
         raise ValueError("not a whole number")
--- a/opalgauge/replica/gossip.py
+++ b/opalgauge/replica/gossip.py
@@ -15,202 +15,233 @@
 from datetime import datetime, timedelta
 from itertools import islice
 
-from opalgauge.replica.messages import Message, packed
-from opalgauge.replica.store import BAN_BRANCHES, BRANCHES, LEAVES, Change, Key, Store
-
-ROUND = timedelta(milliseconds=300)  # between two messages of hashes
-SUSPECT = timedelta(seconds=5)  # a copy not heard for so long is taken to be gone, and asked seldom
-SELDOM = 0.3  # times their share of all
-FEW, FANOUT = 12, 4  # with more ingresses a change goes to so many, and on from each
-RATE, DEPTH = 40.0, 40.0  # messages a second, and at once: 80 in any second
-AGAIN = timedelta(milliseconds=80)  # after hashes that differed: what was said about it may be lost
-DIFFERING = 4  # branches whose leaves are said in answer to one message
-GIVE_UP = timedelta(milliseconds=1500)  # who is told nothing serves without
-HELLO = timedelta(milliseconds=250)  # between two askings to be told all
-AGE = timedelta(seconds=1)
-MOST_QUEUED = 2000  # messages; a copy so far behind is told the rest by hashes
+from opalgauge.replica.messages import Message, pack_items
+from opalgauge.replica.store import BAN_BRANCHES, BRANCHES, LEAVES, Change, Key, ReplicaStore
+
+ROUND_INTERVAL = timedelta(milliseconds=300)  # between two messages of hashes
+SUSPECT_AFTER = timedelta(seconds=5)  # a copy not heard for so long is taken to be gone, and asked seldom
+GONE_PEER_SHARE = 0.3  # times their share of all
+SMALL_FLEET_SIZE, FANOUT = 12, 4  # with more ingresses a change goes to so many, and on from each
+SEND_RATE, SEND_BURST = 40.0, 40.0  # messages a second, and at once: 80 in any second
+RETRY_DELAY = timedelta(milliseconds=80)  # after hashes that differed: what was said about it may be lost
+MAX_ANSWERED_BRANCHES = 4  # branches whose leaves are said in answer to one message
+CATCH_UP_TIMEOUT = timedelta(milliseconds=1500)  # who is told nothing serves without
+HELLO_INTERVAL = timedelta(milliseconds=250)  # between two askings to be told all
+EXPIRY_INTERVAL = timedelta(seconds=1)
+MAX_QUEUED = 2000  # messages; a copy so far behind is told the rest by hashes
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     peer: int
     message: Message
 
 
 @dataclass(slots=True)
 class Peer:
-    life: int = -1
-    heard: datetime | None = None
-    agreed: datetime | None = None  # when its hashes were last ours
+    incarnation: int = -1
+    heard_at: datetime | None = None
+    agreed_at: datetime | None = None  # when its hashes were last ours
 
 
 class Gossip:
     """One copy among `ingresses`."""
 
-    def __init__(self, store: Store, ingresses: int, now: datetime, seed: int) -> None:
-        self.store, self.now, self.born = store, now, now
-        self.chance = random.Random(seed)
-        self.peers = {n: Peer() for n in range(ingresses) if n != store.me}
+    def __init__(self, store: ReplicaStore, fleet_size: int, now: datetime, seed: int) -> None:
+        self.store, self.now, self.started_at = store, now, now
+        self.rng = random.Random(seed)
+        self.peers = {n: Peer() for n in range(fleet_size) if n != store.own_index}
         # Keys that a peer has not been told of since they changed, in the order of the changes.
-        self.rumours: dict[int, dict[Key, None]] = {n: {} for n in self.peers}
-        self.queue: deque[tuple[int, Message]] = deque()
-        self.credit, self.credited = DEPTH, now
-        self.round_at = now + ROUND * self.chance.random()
-        self.hello_at = self.aged = now
+        self.pending_changes: dict[int, dict[Key, None]] = {n: {} for n in self.peers}
+        self.send_queue: deque[tuple[int, Message]] = deque()
+        self.send_credit, self.credit_updated_at = SEND_BURST, now
+        self.next_round_at = now + ROUND_INTERVAL * self.rng.random()
+        self.next_hello_at = self.last_expiry_at = now
         self.caught_up = not self.peers
-        self.differs: int | None = None  # whose hashes were other ones when it was last heard
-        self.fresh: set[int] = set()  # peers that knew nothing when they were last heard
-        self.number = 0
-        self.said = 0
-        self.out: list[Say] = []
-        self.news: list[Change] = []  # what others have told, for whoever decides by it
-
-    def take(self) -> tuple[list[Say], list[Change]]:
-        out, self.out, news, self.news = self.out, [], self.news, []
-        return out, news
+        self.differing_peer: int | None = None  # whose hashes were other ones when it was last heard
+        self.empty_peers: set[int] = set()  # peers that knew nothing when they were last heard
+        self.last_sequence = 0
+        self.sent_count = 0
+        self.outgoing: list[SendMessage] = []
+        self.received_changes: list[Change] = []  # what others have told, for whoever decides by it
+
+    def take_outputs(self) -> tuple[list[SendMessage], list[Change]]:
+        outgoing, self.outgoing, received_changes, self.received_changes = (
+            self.outgoing,
+            [],
+            self.received_changes,
+            [],
+        )
+        return outgoing, received_changes
 
     # --- what comes in -------------------------------------------------------------------------------------
-    def changed(self, change: Change | None, told_by: int = -1) -> None:
+    def announce(self, change: Change | None, learned_from: int = -1) -> None:
         """An item is other than it was; the others are told."""
         if change is None:
             return
-        others = [n for n in self.peers if n != told_by]
-        if len(self.peers) >= FEW:
-            alive = [n for n in others if self._alive(n)] or others
-            others = self.chance.sample(alive, min(FANOUT, len(alive)))
-        elif told_by >= 0:
+        others = [n for n in self.peers if n != learned_from]
+        if len(self.peers) >= SMALL_FLEET_SIZE:
+            alive = [n for n in others if self._is_alive(n)] or others
+            others = self.rng.sample(alive, min(FANOUT, len(alive)))
+        elif learned_from >= 0:
             return  # its maker tells all
         for n in others:
-            self.rumours[n][change.key] = None
+            self.pending_changes[n][change.key] = None
 
-    def heard(self, message: Message, now: datetime) -> None:
+    def handle_message(self, message: Message, now: datetime) -> None:
         self.now = max(self.now, now)
         peer = self.peers.get(message.sender)
-        if peer is None or message.life < peer.life:
+        if peer is None or message.incarnation < peer.incarnation:
             return
-        peer.life, peer.heard = message.life, self.now
+        peer.incarnation, peer.heard_at = message.incarnation, self.now
         for key, item in message.items:
             if (change := self.store.merge(key, item, self.now)) is not None:
-                self.news.append(change)
-                self.changed(change, message.sender)
+                self.received_changes.append(change)
+                self.announce(change, message.sender)
         if message.hello:
-            self.fresh.add(message.sender)
-            self._tell_all(message.sender)
-        if message.branches:
-            self._compare(message.sender, list(message.branches))
-        if message.leaves is not None:
-            self._tell_leaves(message.sender, *message.leaves)
+            self.empty_peers.add(message.sender)
+            self._send_everything(message.sender)
+        if message.branch_hashes:
+            self._compare_branches(message.sender, list(message.branch_hashes))
+        if message.leaf_hashes is not None:
+            self._send_differing_leaves(message.sender, *message.leaf_hashes)
 
     def tick(self, now: datetime) -> None:
         """To be called some twenty times a second."""
         self.now = max(self.now, now)
-        if self.now - self.aged >= AGE:
-            self.aged = self.now
-            self.store.age(self.now)
+        if self.now - self.last_expiry_at >= EXPIRY_INTERVAL:
+            self.last_expiry_at = self.now
+            self.store.expire(self.now)
         if not self.caught_up:
             self._catch_up()
-        if self.now >= self.round_at and self.peers and self.caught_up:
-            self.round_at = self.now + ROUND * (0.75 + self.chance.random() / 2)
-            peer, self.differs = self._somebody() if self.differs is None else self.differs, None
+        if self.now >= self.next_round_at and self.peers and self.caught_up:
+            self.next_round_at = self.now + ROUND_INTERVAL * (0.75 + self.rng.random() / 2)
+            peer, self.differing_peer = (
+                self._pick_peer() if self.differing_peer is None else self.differing_peer,
+                None,
+            )
             if peer is not None:
-                self._queue(peer, Message(self.store.me, self.store.life, 0, branches=self._branches()))
-        for n, keys in self.rumours.items():
+                self._enqueue(
+                    peer,
+                    Message(
+                        self.store.own_index, self.store.incarnation, 0, branch_hashes=self._branch_hashes()
+                    ),
+                )
+        for n, keys in self.pending_changes.items():
             if keys:
                 items = [(key, self.store.items[key]) for key in keys if key in self.store.items]
                 keys.clear()
-                for batch in packed(items):
-                    self._queue(n, Message(self.store.me, self.store.life, 0, items=batch), soon=True)
-        self._send()
+                for batch in pack_items(items):
+                    self._enqueue(
+                        n, Message(self.store.own_index, self.store.incarnation, 0, items=batch), urgent=True
+                    )
+        self._send_queued()
 
     # --- equal or not --------------------------------------------------------------------------------------
-    def _branches(self) -> tuple[bytes, ...]:
+    def _branch_hashes(self) -> tuple[bytes, ...]:
         return tuple(self.store.branch_hashes)
 
-    def _compare(self, peer: int, theirs: list[bytes]) -> None:
-        mine = self.store.branch_hashes
-        self.fresh.discard(peer)
-        if not self.caught_up and self.store.bans_equal(theirs):
+    def _compare_branches(self, peer: int, peer_hashes: list[bytes]) -> None:
+        own_hashes = self.store.branch_hashes
+        self.empty_peers.discard(peer)
+        if not self.caught_up and self.store.bans_equal(peer_hashes):
             self.caught_up = True
-        differing = [n for n in range(BRANCHES) if theirs[n] != mine[n]]
+        differing = [n for n in range(BRANCHES) if peer_hashes[n] != own_hashes[n]]
         if not differing:
-            self.peers[peer].agreed = self.now
+            self.peers[peer].agreed_at = self.now
         elif self.caught_up:
-            self.round_at = min(self.round_at, self.now + AGAIN)
-            self.differs = peer
-        for n in differing[:DIFFERING]:
+            self.next_round_at = min(self.next_round_at, self.now + RETRY_DELAY)
+            self.differing_peer = peer
+        for n in differing[:MAX_ANSWERED_BRANCHES]:
             # What the branch holds, where that is little, need not wait for hashes to go to and fro: where
             # half of the messages are lost each more of them that has to arrive doubles the time.
-            batches = list(islice(packed(self.store.branch(n)), 2))
+            batches = list(islice(pack_items(self.store.branch_items(n)), 2))
             if len(batches) == 1:
-                self._queue(peer, Message(self.store.me, self.store.life, 0, items=batches[0]))
-            leaves = n, tuple(self.store.leaf_hashes[n]), False
-            self._queue(peer, Message(self.store.me, self.store.life, 0, leaves=leaves))
-
-    def _tell_leaves(self, peer: int, branch: int, theirs: tuple[bytes, ...], back: bool) -> None:
-        mine = self.store.leaf_hashes[branch]
-        differing = [n for n in range(LEAVES) if theirs[n] != mine[n]]
-        for batch in packed(i for n in differing for i in self.store.at(branch, n)):
-            self._queue(peer, Message(self.store.me, self.store.life, 0, items=batch))
-        if differing and not back:
-            self._queue(peer, Message(self.store.me, self.store.life, 0, leaves=(branch, tuple(mine), True)))
-
-    def _tell_all(self, peer: int) -> None:
+                self._enqueue(
+                    peer, Message(self.store.own_index, self.store.incarnation, 0, items=batches[0])
+                )
+            leaf_hashes = n, tuple(self.store.leaf_hashes[n]), False
+            self._enqueue(
+                peer, Message(self.store.own_index, self.store.incarnation, 0, leaf_hashes=leaf_hashes)
+            )
+
+    def _send_differing_leaves(
+        self, peer: int, branch: int, peer_hashes: tuple[bytes, ...], is_answer: bool
+    ) -> None:
+        own_hashes = self.store.leaf_hashes[branch]
+        differing = [n for n in range(LEAVES) if peer_hashes[n] != own_hashes[n]]
+        for batch in pack_items(i for n in differing for i in self.store.leaf_items(branch, n)):
+            self._enqueue(peer, Message(self.store.own_index, self.store.incarnation, 0, items=batch))
+        if differing and not is_answer:
+            self._enqueue(
+                peer,
+                Message(
+                    self.store.own_index,
+                    self.store.incarnation,
+                    0,
+                    leaf_hashes=(branch, tuple(own_hashes), True),
+                ),
+            )
+
+    def _send_everything(self, peer: int) -> None:
         """For one that knows nothing. What it misses of it shows by hashes."""
-        if any(n == peer and w.items for n, w in self.queue):
+        if any(n == peer and message.items for n, message in self.send_queue):
             return  # it is being told
-        everything = (i for b in range(BRANCHES) for i in self.store.branch(b))
-        bans = (i for b in range(BAN_BRANCHES) for i in self.store.branch(b))
-        me, life = self.store.me, self.store.life
+        everything = (i for b in range(BRANCHES) for i in self.store.branch_items(b))
+        bans = (i for b in range(BAN_BRANCHES) for i in self.store.branch_items(b))
+        own_index, incarnation = self.store.own_index, self.store.incarnation
         # The first of the others tells all of it, the rest the bans: a message may be lost.
-        first = min(k for k in (me, *self.peers) if k != peer)
-        for batch in packed(everything if first == me else bans):
-            self._queue(peer, Message(me, life, 0, items=batch))
+        lowest = min(k for k in (own_index, *self.peers) if k != peer)
+        for batch in pack_items(everything if lowest == own_index else bans):
+            self._enqueue(peer, Message(own_index, incarnation, 0, items=batch))
         if self.caught_up:
-            self._queue(peer, Message(me, life, 0, branches=self._branches()))
+            self._enqueue(peer, Message(own_index, incarnation, 0, branch_hashes=self._branch_hashes()))
 
     def _catch_up(self) -> None:
         # Where all have just started there is nothing to be told.
-        if self.now - self.born >= GIVE_UP or len(self.fresh) == len(self.peers):
+        if self.now - self.started_at >= CATCH_UP_TIMEOUT or len(self.empty_peers) == len(self.peers):
             self.caught_up = True
-        elif self.now >= self.hello_at:
-            self.hello_at = self.now + HELLO
-            for n in self.chance.sample(sorted(self.peers), min(FANOUT, len(self.peers))):
-                self._queue(n, Message(self.store.me, self.store.life, 0, hello=True), soon=True)
+        elif self.now >= self.next_hello_at:
+            self.next_hello_at = self.now + HELLO_INTERVAL
+            for n in self.rng.sample(sorted(self.peers), min(FANOUT, len(self.peers))):
+                self._enqueue(
+                    n, Message(self.store.own_index, self.store.incarnation, 0, hello=True), urgent=True
+                )
 
     # --- who and when --------------------------------------------------------------------------------------
-    def _alive(self, peer: int) -> bool:
-        heard = self.peers[peer].heard
-        return heard is not None and self.now - heard <= SUSPECT
+    def _is_alive(self, peer: int) -> bool:
+        heard_at = self.peers[peer].heard_at
+        return heard_at is not None and self.now - heard_at <= SUSPECT_AFTER
 
-    def _somebody(self) -> int | None:
-        alive = [n for n in self.peers if self._alive(n)]
+    def _pick_peer(self) -> int | None:
+        alive = [n for n in self.peers if self._is_alive(n)]
         gone = [n for n in self.peers if n not in alive]
-        if gone and (not alive or self.chance.random() < SELDOM * len(gone) / len(self.peers)):
-            return self.chance.choice(gone)
-        return self.chance.choice(alive) if alive else None
+        if gone and (not alive or self.rng.random() < GONE_PEER_SHARE * len(gone) / len(self.peers)):
+            return self.rng.choice(gone)
+        return self.rng.choice(alive) if alive else None
 
-    def _queue(self, peer: int, message: Message, soon: bool = False) -> None:
-        if len(self.queue) >= MOST_QUEUED:
+    def _enqueue(self, peer: int, message: Message, urgent: bool = False) -> None:
+        if len(self.send_queue) >= MAX_QUEUED:
             return  # guards the memory; the hashes will tell
-        if soon:
-            self.queue.appendleft((peer, message))
+        if urgent:
+            self.send_queue.appendleft((peer, message))
         else:
-            self.queue.append((peer, message))
-
-    def _send(self) -> None:
-        gained = (self.now - self.credited).total_seconds() * RATE
-        self.credit, self.credited = min(DEPTH, self.credit + gained), self.now
-        while self.queue and self.credit >= 1:
-            peer, message = self.queue.popleft()
-            self.credit -= 1
-            self.number += 1
-            self.said += 1
-            self.out.append(Say(peer, replace(message, number=self.number)))
-
-    def alive(self) -> int:
-        return 1 + sum(self._alive(n) for n in self.peers)
-
-    def agreeing(self) -> int:
+            self.send_queue.append((peer, message))
+
+    def _send_queued(self) -> None:
+        refill = (self.now - self.credit_updated_at).total_seconds() * SEND_RATE
+        self.send_credit, self.credit_updated_at = min(SEND_BURST, self.send_credit + refill), self.now
+        while self.send_queue and self.send_credit >= 1:
+            peer, message = self.send_queue.popleft()
+            self.send_credit -= 1
+            self.last_sequence += 1
+            self.sent_count += 1
+            self.outgoing.append(SendMessage(peer, replace(message, sequence=self.last_sequence)))
+
+    def count_alive(self) -> int:
+        return 1 + sum(self._is_alive(n) for n in self.peers)
+
+    def count_agreeing(self) -> int:
         """Copies whose hashes were this one's within the last few rounds."""
-        since = self.now - ROUND * 4 * max(1, len(self.peers))
-        return sum(p.agreed is not None and p.agreed >= since for p in self.peers.values())
+        since = self.now - ROUND_INTERVAL * 4 * max(1, len(self.peers))
+        return sum(p.agreed_at is not None and p.agreed_at >= since for p in self.peers.values())
--- a/opalgauge/replica/messages.py
+++ b/opalgauge/replica/messages.py
@@ -13,15 +13,14 @@
 
 import msgspec
 
-from opalgauge.memory.signed_datagram import DIGEST_SIZE, MAX_DATAGRAM_SIZE, decode, sign
-from opalgauge.memory.signed_datagram import VERSION_SIZE as VERSION_LENGTH
+from opalgauge.memory.signed_datagram import DIGEST_SIZE, MAX_DATAGRAM_SIZE, VERSION_SIZE, decode, sign
 from opalgauge.replica.crdt import Item
-from opalgauge.replica.store import BRANCHES, HASH, LEAVES, TYPES, Key
+from opalgauge.replica.store import BRANCHES, HASH_SIZE, ITEM_TYPES, LEAVES, Key
 
 VERSION = b"\x5a\x21"
-HEAD = 24  # bytes of a message round its items, at most
-MOST_ROWS = 4  # sources or tags in one piece of an item
-MOST_NAME = 100  # characters
+ENVELOPE_SIZE = 24  # bytes of a message round its items, at most
+MAX_ROWS = 4  # sources or tags in one piece of an item
+MAX_NAME_LENGTH = 100  # characters
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,69 +31,83 @@
     """
 
     sender: int
-    life: int
-    number: int
+    incarnation: int
+    sequence: int
     items: tuple[tuple[Key, Item], ...] = ()
-    branches: tuple[bytes, ...] = ()
-    leaves: tuple[int, tuple[bytes, ...], bool] | None = None
+    branch_hashes: tuple[bytes, ...] = ()
+    leaf_hashes: tuple[int, tuple[bytes, ...], bool] | None = None
     hello: bool = False
 
 
-class _Wire(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+class _WireMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     sender: int
-    life: int
-    number: int
+    incarnation: int
+    sequence: int
     hello: bool
     items: list[tuple[int, str, Any]] = field(default_factory=list)
-    branches: list[bytes] = field(default_factory=list)
-    leaves: tuple[int, list[bytes], bool] | None = None
+    branch_hashes: list[bytes] = field(default_factory=list)
+    leaf_hashes: tuple[int, list[bytes], bool] | None = None
 
 
-def write(message: Message, secret: bytes = b"") -> bytes:
-    leaves = message.leaves
-    wire = _Wire(
-        message.sender, message.life, message.number, message.hello,
-        [(kind, name, item.wire()) for (kind, name), item in message.items], list(message.branches),
-        (leaves[0], list(leaves[1]), leaves[2]) if leaves is not None else None,
+def encode_message(message: Message, secret: bytes = b"") -> bytes:
+    leaf_hashes = message.leaf_hashes
+    body = _WireMessage(
+        message.sender, message.incarnation, message.sequence, message.hello,
+        [(kind, name, item.to_wire()) for (kind, name), item in message.items],
+        list(message.branch_hashes),
+        (leaf_hashes[0], list(leaf_hashes[1]), leaf_hashes[2]) if leaf_hashes is not None else None,
     )  # fmt: skip
-    return sign(VERSION, msgspec.msgpack.encode(wire), secret)
+    return sign(VERSION, msgspec.msgpack.encode(body), secret)
 
 
-def read(data: bytes, secret: bytes = b"") -> Message | None:
+def decode_message(data: bytes, secret: bytes = b"") -> Message | None:
     """Another copy's message; None where it is torn, foreign or says what cannot be. Never raises."""
-    wire = decode(data, VERSION, secret, _Wire)
-    if wire is None:
+    body = decode(data, VERSION, secret, _WireMessage)
+    if body is None:
         return None
     try:
-        if wire.sender < 0 or not (0 <= wire.life < 2**53 and 0 <= wire.number < 2**53):
+        if body.sender < 0 or not (0 <= body.incarnation < 2**53 and 0 <= body.sequence < 2**53):
             return None
         items = tuple(
-            ((kind, name), TYPES[kind].read(told))
-            for kind, name, told in wire.items
-            if len(name) <= MOST_NAME
+            ((kind, name), ITEM_TYPES[kind].from_wire(value))
+            for kind, name, value in body.items
+            if len(name) <= MAX_NAME_LENGTH
         )
-        hashes = [*wire.branches, *(wire.leaves[1] if wire.leaves else ())]
-        sound = (
-            len(wire.branches) in (0, BRANCHES) and all(len(h) == HASH for h in hashes)
-            and (wire.leaves is None or 0 <= wire.leaves[0] < BRANCHES and len(wire.leaves[1]) == LEAVES)
+        hashes = [*body.branch_hashes, *(body.leaf_hashes[1] if body.leaf_hashes else ())]
+        is_valid = (
+            len(body.branch_hashes) in (0, BRANCHES) and all(len(h) == HASH_SIZE for h in hashes)
+            and (body.leaf_hashes is None
+                 or 0 <= body.leaf_hashes[0] < BRANCHES and len(body.leaf_hashes[1]) == LEAVES)
         )  # fmt: skip
-        if not sound:
+        if not is_valid:
             return None
     except (msgspec.MsgspecError, ValueError, TypeError, KeyError):
         return None
-    leaves = (wire.leaves[0], tuple(wire.leaves[1]), wire.leaves[2]) if wire.leaves is not None else None
-    return Message(wire.sender, wire.life, wire.number, items, tuple(wire.branches), leaves, wire.hello)
-
-
-def packed(items: Iterable[tuple[Key, Item]]) -> Iterator[tuple[tuple[Key, Item], ...]]:
+    leaf_hashes = (
+        (body.leaf_hashes[0], tuple(body.leaf_hashes[1]), body.leaf_hashes[2])
+        if body.leaf_hashes is not None
+        else None
+    )
+    return Message(
+        body.sender,
+        body.incarnation,
+        body.sequence,
+        items,
+        tuple(body.branch_hashes),
+        leaf_hashes,
+        body.hello,
+    )
+
+
+def pack_items(items: Iterable[tuple[Key, Item]]) -> Iterator[tuple[tuple[Key, Item], ...]]:
     """As many items as fit, datagram by datagram; what is too long for one goes in pieces."""
-    room = MAX_DATAGRAM_SIZE - DIGEST_SIZE - VERSION_LENGTH - HEAD
+    capacity = MAX_DATAGRAM_SIZE - DIGEST_SIZE - VERSION_SIZE - ENVELOPE_SIZE
     batch: list[tuple[Key, Item]] = []
     used = 0
     for key, item in items:
-        for piece in item.pieces(MOST_ROWS):
-            size = len(msgspec.msgpack.encode([key[0], key[1], piece.wire()]))
-            if batch and used + size > room:
+        for piece in item.split(MAX_ROWS):
+            size = len(msgspec.msgpack.encode([key[0], key[1], piece.to_wire()]))
+            if batch and used + size > capacity:
                 yield tuple(batch)
                 batch, used = [], 0
             batch.append((key, piece))
--- a/opalgauge/zones/fleet.py
+++ b/opalgauge/zones/fleet.py
@@ -10,10 +10,10 @@
 from datetime import datetime, timedelta
 
 from opalgauge.zones.health import Opinion
-from opalgauge.zones.messages import Message, State
+from opalgauge.zones.messages import Message, ZoneState
 
-MESSAGE_LIFE = timedelta(milliseconds=1500)  # six messages: with half of them lost, one in 60 is unheard
-ALIVE = timedelta(seconds=6)  # an ingress not heard for so long is not counted
+MESSAGE_MAX_AGE = timedelta(milliseconds=1500)  # six messages: with half of them lost, one in 60 is unheard
+ALIVE_WITHIN = timedelta(seconds=6)  # an ingress not heard for so long is not counted
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     """Opinions of a zone, this ingress's own among them, and what fresh messages say of its trials."""
 
     failing: int
-    well: int
+    healthy: int
     slow: int
     good_trials: int
     bad_trials: int
@@ -33,44 +33,54 @@
 class Fleet:
     """The newest message of each peer."""
 
-    def __init__(self, me: int, told: int) -> None:
-        self.me, self.told = me, max(1, told)  # `told`: how many ingresses the settings know
+    def __init__(self, own_index: int, configured_size: int) -> None:
+        self.own_index, self.configured_size = (
+            own_index,
+            max(1, configured_size),
+        )  # `told`: how many ingresses the settings know
         self.messages: dict[int, tuple[datetime, Message]] = {}
 
-    def hear(self, message: Message, now: datetime) -> bool:
+    def accept(self, message: Message, now: datetime) -> bool:
         """Takes a message unless a newer one of that ingress is known; False: it is old, or our own."""
-        if message.sender == self.me or not 0 <= message.sender < self.told:
+        if message.sender == self.own_index or not 0 <= message.sender < self.configured_size:
             return False
         known = self.messages.get(message.sender)
-        if known is not None and (message.life, message.number) <= (known[1].life, known[1].number):
+        if known is not None and (message.incarnation, message.sequence) <= (
+            known[1].incarnation,
+            known[1].sequence,
+        ):
             return False
         self.messages[message.sender] = now, message
         return True
 
-    def alive(self, now: datetime) -> int:
+    def count_alive(self, now: datetime) -> int:
         """How many ingresses there are, this one with them. Where nobody is heard, all that were told of."""
-        heard = sum(now - at <= ALIVE for at, _ in self.messages.values())
-        return 1 + heard if heard else self.told
+        heard = sum(now - at <= ALIVE_WITHIN for at, _ in self.messages.values())
+        return 1 + heard if heard else self.configured_size
 
-    def cut_off(self, now: datetime) -> bool:
-        return self.told > 1 and not any(now - at <= MESSAGE_LIFE for at, _ in self.messages.values())
+    def is_cut_off(self, now: datetime) -> bool:
+        return self.configured_size > 1 and not any(
+            now - at <= MESSAGE_MAX_AGE for at, _ in self.messages.values()
+        )
 
-    def votes(self, zone: int, own: Opinion, now: datetime) -> Votes:
-        fresh = [
+    def count_votes(self, zone: int, own: Opinion, now: datetime) -> Votes:
+        recent = [
             (now - at, message.zones[zone])
             for at, message in self.messages.values()
-            if now - at <= MESSAGE_LIFE and zone < len(message.zones)
+            if now - at <= MESSAGE_MAX_AGE and zone < len(message.zones)
+        ]
+        opinions = [own, *(report.opinion for _, report in recent)]
+        returning_since = [
+            now - elapsed - report.age for elapsed, report in recent if report.state is ZoneState.RETURNING
         ]
-        opinions = [own, *(told.opinion for _, told in fresh)]
-        since = [now - gone - told.age for gone, told in fresh if told.state is State.RETURNING]
         return Votes(
             failing=opinions.count(Opinion.FAILING),
-            well=opinions.count(Opinion.WELL),
+            healthy=opinions.count(Opinion.HEALTHY),
             slow=opinions.count(Opinion.SLOW),
             # Those of who has returned since are no sign for who has left it again.
-            good_trials=sum(told.good_trials for _, told in fresh if told.state is State.LEFT),
-            bad_trials=sum(told.bad_trials for _, told in fresh if told.state is State.LEFT),
-            returning_since=max(since) if since else None,
-            left=sum(told.state is State.LEFT for _, told in fresh),
-            heard=len(fresh),
+            good_trials=sum(report.good_trials for _, report in recent if report.state is ZoneState.LEFT),
+            bad_trials=sum(report.bad_trials for _, report in recent if report.state is ZoneState.LEFT),
+            returning_since=max(returning_since) if returning_since else None,
+            left=sum(report.state is ZoneState.LEFT for _, report in recent),
+            heard=len(recent),
         )
--- a/opalgauge/zones/messages.py
+++ b/opalgauge/zones/messages.py
@@ -16,12 +16,12 @@
 from opalgauge.zones.health import Opinion
 
 VERSION = b"\x5a\x01"
-MOST_ZONES = 20
-TENTH = timedelta(milliseconds=100)
-MOST_TENTHS, MOST_TRIALS = 2**20, 15
+MAX_ZONES = 20
+TENTH_OF_SECOND = timedelta(milliseconds=100)
+MAX_TENTHS, MAX_TRIALS = 2**20, 15
 
 
-class State(IntEnum):
+class ZoneState(IntEnum):
     """Where a zone stands with an ingress; it goes over the wire."""
 
     IN = 0
@@ -31,11 +31,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ZoneReport:
     """Of one zone. `age`: how long its state has held."""
 
     opinion: Opinion
-    state: State
+    state: ZoneState
     age: timedelta
     good_trials: int = 0
     bad_trials: int = 0
@@ -46,50 +46,52 @@
     """`life` grows with each start of the sender, `number` with each message of a life."""
 
     sender: int
-    life: int
-    number: int
-    zones: tuple[Told, ...]
+    incarnation: int
+    sequence: int
+    zones: tuple[ZoneReport, ...]
 
 
-class _Wire(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+class _WireMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     sender: int
-    life: int
-    number: int
+    incarnation: int
+    sequence: int
     zones: list[tuple[int, int, int, int, int]]
 
 
-def write(message: Message, secret: bytes = b"") -> bytes:
+def encode_message(message: Message, secret: bytes = b"") -> bytes:
     """At most 256 bytes for MOST_ZONES zones."""
     rows = [
         (
-            int(z.opinion), int(z.state), min(z.age // TENTH, MOST_TENTHS),
-            min(z.good_trials, MOST_TRIALS), min(z.bad_trials, MOST_TRIALS),
+            int(z.opinion), int(z.state), min(z.age // TENTH_OF_SECOND, MAX_TENTHS),
+            min(z.good_trials, MAX_TRIALS), min(z.bad_trials, MAX_TRIALS),
         )
-        for z in message.zones[:MOST_ZONES]
+        for z in message.zones[:MAX_ZONES]
     ]  # fmt: skip
-    body = msgspec.msgpack.encode(_Wire(message.sender, message.life, message.number, rows))
-    return sign(VERSION, body, secret)
+    encoded = msgspec.msgpack.encode(
+        _WireMessage(message.sender, message.incarnation, message.sequence, rows)
+    )
+    return sign(VERSION, encoded, secret)
 
 
-def read(data: bytes, secret: bytes = b"") -> Message | None:
+def decode_message(data: bytes, secret: bytes = b"") -> Message | None:
     """A peer's message; None where it is torn, foreign or says what cannot be. Never raises."""
-    wire = decode(data, VERSION, secret, _Wire)
-    if wire is None:
+    body = decode(data, VERSION, secret, _WireMessage)
+    if body is None:
         return None
     try:
-        if not (0 <= wire.life < 2**53 and 0 <= wire.number < 2**53) or len(wire.zones) > MOST_ZONES:
+        if not (0 <= body.incarnation < 2**53 and 0 <= body.sequence < 2**53) or len(body.zones) > MAX_ZONES:
             return None
         zones = tuple(
-            Told(Opinion(o), State(s), TENTH * _within(age, MOST_TENTHS), _within(good, MOST_TRIALS),
-                 _within(bad, MOST_TRIALS))
-            for o, s, age, good, bad in wire.zones
+            ZoneReport(Opinion(o), ZoneState(s), TENTH_OF_SECOND * _check_range(age, MAX_TENTHS),
+                       _check_range(good, MAX_TRIALS), _check_range(bad, MAX_TRIALS))
+            for o, s, age, good, bad in body.zones
         )  # fmt: skip
     except ValueError:
         return None
-    return Message(wire.sender, wire.life, wire.number, zones)
+    return Message(body.sender, body.incarnation, body.sequence, zones)
 
 
-def _within(value: int, most: int) -> int:
-    if not 0 <= value <= most:
+def _check_range(value: int, maximum: int) -> int:
+    if not 0 <= value <= maximum:
         raise ValueError("out of range")
     return value
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -24,9 +24,9 @@
 }
 EDGE: dict[str, tuple[set[str], set[str]]] = {  # its modules, and what these may import besides
     "console": ({"endpoint", "ban_file"}, {"wire"}),
-    "zones": ({"channel"}, {"wire"}),
-    "leases": ({"channel"}, {"wire"}),
-    "replica": ({"channel"}, {"wire"}),
+    "zones": ({"driver"}, {"wire"}),
+    "leases": ({"driver"}, {"wire"}),
+    "replica": ({"driver"}, {"wire"}),
     "cores": ({"supervisor", "worker", "__main__"}, {"wire", "lifecycle"}),
     "lab": ({"skewed_clock"}, {"cli"}),  # it is the command line, with a clock that is wrong
 }
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -17,12 +17,12 @@
 from opalgauge.lab.replica_simulation import ReplicaSimulation, Scenario
 from opalgauge.memory.signed_datagram import MAX_DATAGRAM_SIZE
 from opalgauge.replica import messages
-from opalgauge.replica.clock import Clock
-from opalgauge.replica.crdt import Item, Parts, Register, Tags, merge
-from opalgauge.replica.gossip import DEPTH, GIVE_UP, RATE, Gossip
+from opalgauge.replica.clock import HybridClock
+from opalgauge.replica.crdt import GrowOnlyCounter, Item, LwwRegister, ObservedRemoveSet, merge
+from opalgauge.replica.gossip import CATCH_UP_TIMEOUT, SEND_BURST, SEND_RATE, Gossip
 from opalgauge.replica.messages import Message
-from opalgauge.replica.store import GRACE, MOST_BANS, Kind, Store
-from starlinggap import interface as i
+from opalgauge.replica.store import EXPIRY_GRACE, MAX_BANS, ItemKind, ReplicaStore
+from starlinggap import interface
 from starlinggap.snapshot import active_ejections, adopt_ejection
 from tests.gateway_rig import GatewayRig, settings
 
@@ -30,17 +30,17 @@
 SECOND = timedelta(seconds=1)
 
 # --- merge rules -------------------------------------------------------------------------------------------
-Op = Callable[[Store, datetime], object]
+Op = Callable[[ReplicaStore, datetime], object]
 OPS: dict[str, Op] = {
     "out": lambda s, now: s.set_ban("s-1", True, now),
     "back": lambda s, now: s.set_ban("s-1", False, now),
-    "judge": lambda s, now: s.judge("1:0:0", now + 60 * SECOND, now),
-    "acquit": lambda s, now: s.acquit("1:0:0", now),
-    "count": lambda s, now: s.count("7:1@2000000000000000", 5, now),
+    "judge": lambda s, now: s.add_ejection("1:0:0", now + 60 * SECOND, now),
+    "acquit": lambda s, now: s.clear_ejection("1:0:0", now),
+    "count": lambda s, now: s.add_usage("7:1@2000000000000000", 5, now),
 }
 
 
-def join(to: Store, of: Store, now: datetime) -> None:
+def merge_into(to: ReplicaStore, of: ReplicaStore, now: datetime) -> None:
     for key, item in list(of.items.items()):
         to.merge(key, item, now)
 
@@ -52,31 +52,33 @@
     for ops in itertools.product(("out", "back", "judge", "acquit"), repeat=3):
         for at in itertools.product(range(3), repeat=2):
             for first, second in itertools.product([None, *pairs], repeat=2):
-                stores = [Store(n, 1) for n in range(3)]
+                stores = [ReplicaStore(n, 1) for n in range(3)]
                 for n, (op, where) in enumerate(zip(ops, (0, *at), strict=True)):
                     OPS[op](stores[where], T0 + n * SECOND)
                     if n < 2 and (between := (first, second)[n]) is not None:
-                        join(stores[between[0]], stores[between[1]], T0)
+                        merge_into(stores[between[0]], stores[between[1]], T0)
                 for a, b in ((0, 1), (0, 2), (1, 0), (2, 0)):
-                    join(stores[a], stores[b], T0)
+                    merge_into(stores[a], stores[b], T0)
                 assert len({s.digest() for s in stores}) == 1
                 count += 1
     assert count == 64 * 9 * 49
 
 
 stamps = st.integers(0, 5)
-registers = st.builds(Register, stamps, st.integers(0, 1))
-parts = st.builds(Parts, st.dictionaries(st.tuples(st.integers(0, 2), stamps), st.integers(0, 9), max_size=4))
+registers = st.builds(LwwRegister, stamps, st.integers(0, 1))
+counters = st.builds(
+    GrowOnlyCounter, st.dictionaries(st.tuples(st.integers(0, 2), stamps), st.integers(0, 9), max_size=4)
+)
 
 
 @st.composite
-def tag_sets(draw: st.DrawFn) -> Tags:
-    said = draw(st.dictionaries(st.tuples(st.integers(0, 2), stamps), st.integers(0, 9), max_size=4))
-    back = draw(st.sets(st.sampled_from(sorted(said)))) if said else set()
-    return Tags(said, frozenset(back))
+def tag_sets(draw: st.DrawFn) -> ObservedRemoveSet:
+    added = draw(st.dictionaries(st.tuples(st.integers(0, 2), stamps), st.integers(0, 9), max_size=4))
+    removed = draw(st.sets(st.sampled_from(sorted(added)))) if added else set()
+    return ObservedRemoveSet(added, frozenset(removed))
 
 
-@pytest.mark.parametrize("kind", [registers, parts, tag_sets()], ids=["register", "parts", "tags"])
+@pytest.mark.parametrize("kind", [registers, counters, tag_sets()], ids=["register", "parts", "tags"])
 def test_merging_has_no_order_and_no_number(kind: st.SearchStrategy[Item]) -> None:
     @hyp(max_examples=150, deadline=None, derandomize=True)
     @given(kind, kind, kind)
@@ -84,221 +86,223 @@
         assert merge(a, b) == merge(b, a)
         assert merge(a, merge(b, c)) == merge(merge(a, b), c)
         assert merge(a, a) == a
-        first, *rest = cast(Iterable[Item], a.pieces(2))
+        first, *rest = cast(Iterable[Item], a.split(2))
         assert functools.reduce(merge, rest, first) == a
 
     check()
 
 
 def test_a_ban_and_its_lifting_at_once_leave_the_ban_and_a_later_lifting_lifts_it() -> None:
-    one, other = Store(0, 1), Store(1, 1)
+    one, other = ReplicaStore(0, 1), ReplicaStore(1, 1)
     one.set_ban("s-1", True, T0, at=T0)
     other.set_ban("s-1", False, T0, at=T0)
-    join(one, other, T0)
-    join(other, one, T0)
-    assert one.items[Kind.BAN, "s-1"] == other.items[Kind.BAN, "s-1"] == Register(one.clock.last, 1)
+    merge_into(one, other, T0)
+    merge_into(other, one, T0)
+    assert (
+        one.items[ItemKind.BAN, "s-1"] == other.items[ItemKind.BAN, "s-1"] == LwwRegister(one.clock.last, 1)
+    )
     # Its clock is an hour behind; what it has seen is still earlier than what it says.
     other.set_ban("s-1", False, T0 - timedelta(minutes=59))
-    join(one, other, T0)
-    item = one.items[Kind.BAN, "s-1"]
-    assert isinstance(item, Register) and item.value == 0
+    merge_into(one, other, T0)
+    item = one.items[ItemKind.BAN, "s-1"]
+    assert isinstance(item, LwwRegister) and item.value == 0
 
 
 def test_what_one_takes_back_is_what_it_had_heard_and_no_more() -> None:
-    one, other = Store(0, 1), Store(1, 1)
-    one.judge("1:0:0", T0 + 9 * SECOND, T0)
-    join(other, one, T0)
-    one.judge("1:0:0", T0 + 9 * SECOND, T0 + SECOND)  # not heard by the other
-    other.acquit("1:0:0", T0 + SECOND)
-    join(one, other, T0)
-    assert list(one.judged("1:0:0", T0 + 2 * SECOND)) == [0]
-    assert one.judged("1:0:0", T0 + 10 * SECOND) == {}  # and it ages out by itself
+    one, other = ReplicaStore(0, 1), ReplicaStore(1, 1)
+    one.add_ejection("1:0:0", T0 + 9 * SECOND, T0)
+    merge_into(other, one, T0)
+    one.add_ejection("1:0:0", T0 + 9 * SECOND, T0 + SECOND)  # not heard by the other
+    other.clear_ejection("1:0:0", T0 + SECOND)
+    merge_into(one, other, T0)
+    assert list(one.ejected_by("1:0:0", T0 + 2 * SECOND)) == [0]
+    assert one.ejected_by("1:0:0", T0 + 10 * SECOND) == {}  # and it ages out by itself
 
 
 def test_a_new_life_counts_beside_the_old_one() -> None:
-    old, new, peer = Store(0, 1), Store(0, 2), Store(1, 1)
+    old, new, peer = ReplicaStore(0, 1), ReplicaStore(0, 2), ReplicaStore(1, 1)
     what = "7:1@2000000000000000"
-    old.count(what, 5, T0)
-    join(peer, old, T0)
-    new.count(what, 2, T0)
-    join(peer, new, T0)
-    join(new, peer, T0)
-    item = new.items[Kind.COUNT, what]
-    assert isinstance(item, Parts) and item.total == 7
+    old.add_usage(what, 5, T0)
+    merge_into(peer, old, T0)
+    new.add_usage(what, 2, T0)
+    merge_into(peer, new, T0)
+    merge_into(new, peer, T0)
+    item = new.items[ItemKind.COUNT, what]
+    assert isinstance(item, GrowOnlyCounter) and item.total == 7
 
 
-class Copies(RuleBasedStateMachine):
+class ReplicaMachine(RuleBasedStateMachine):
     """Three copies, messages that are lost, repeated and overtaken: whoever hears all of all is equal."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = T0
-        self.copies = [Gossip(Store(n, 1), 3, T0, n) for n in range(3)]
-        self.flying: list[tuple[int, bytes]] = []
+        self.replicas = [Gossip(ReplicaStore(n, 1), 3, T0, n) for n in range(3)]
+        self.in_flight: list[tuple[int, bytes]] = []
 
     def collect(self) -> None:
-        for copy in self.copies:
-            for say in copy.take()[0]:
-                self.flying.append((say.peer, messages.write(say.message)))
+        for replica in self.replicas:
+            for sent in replica.take_outputs()[0]:
+                self.in_flight.append((sent.peer, messages.encode_message(sent.message)))
 
     @rule(n=st.integers(0, 2), op=st.sampled_from(sorted(OPS)))
     def change(self, n: int, op: str) -> None:
-        change = OPS[op](self.copies[n].store, self.now)
-        self.copies[n].changed(change)  # type: ignore[arg-type]
+        change = OPS[op](self.replicas[n].store, self.now)
+        self.replicas[n].announce(change)  # type: ignore[arg-type]
 
     @rule(ms=st.integers(10, 400))
     def tick(self, ms: int) -> None:
         self.now += timedelta(milliseconds=ms)
-        for copy in self.copies:
-            copy.tick(self.now)
+        for replica in self.replicas:
+            replica.tick(self.now)
         self.collect()
 
-    @precondition(lambda self: self.flying)
+    @precondition(lambda self: self.in_flight)
     @rule(data=st.data(), end=st.sampled_from(["come", "come", "twice", "lost"]))
     def message(self, data: st.DataObject, end: str) -> None:
-        at = data.draw(st.integers(0, len(self.flying) - 1))
-        peer, told = self.flying[at] if end == "twice" else self.flying.pop(at)
+        at = data.draw(st.integers(0, len(self.in_flight) - 1))
+        peer, datagram = self.in_flight[at] if end == "twice" else self.in_flight.pop(at)
         if end != "lost":
-            message = messages.read(told)
+            message = messages.decode_message(datagram)
             assert message is not None
-            self.copies[peer].heard(message, self.now)
+            self.replicas[peer].handle_message(message, self.now)
             self.collect()
 
     @invariant()
     def no_word_is_too_long(self) -> None:
-        assert all(len(told) <= MAX_DATAGRAM_SIZE for _, told in self.flying)
+        assert all(len(datagram) <= MAX_DATAGRAM_SIZE for _, datagram in self.in_flight)
 
     def teardown(self) -> None:
         for _ in range(200):
             self.tick(100)
-            flying, self.flying = self.flying, []
-            for peer, told in flying:
-                message = messages.read(told)
+            in_flight, self.in_flight = self.in_flight, []
+            for peer, datagram in in_flight:
+                message = messages.decode_message(datagram)
                 assert message is not None
-                self.copies[peer].heard(message, self.now)
+                self.replicas[peer].handle_message(message, self.now)
                 self.collect()
-        assert len({c.store.digest() for c in self.copies}) == 1
+        assert len({c.store.digest() for c in self.replicas}) == 1
 
 
-TestCopies = Copies.TestCase
-TestCopies.settings = hyp(max_examples=40, stateful_step_count=25, deadline=None, derandomize=True)
+TestReplicaMachine = ReplicaMachine.TestCase
+TestReplicaMachine.settings = hyp(max_examples=40, stateful_step_count=25, deadline=None, derandomize=True)
 
 
 # --- bounds ------------------------------------------------------------------------------------------------
 def test_stamps_grow_whatever_the_clock_and_one_far_ahead_is_not_taken() -> None:
-    clock = Clock()
-    first = clock.stamp(T0)
-    assert clock.stamp(T0) == first + 1 and clock.stamp(T0 - 9 * SECOND) == first + 2
-    assert clock.heard(first + 10**9, T0) and clock.stamp(T0) == first + 10**9 + 1
-    assert not clock.heard(first + 2 * 3600 * 10**6, T0)
-    store = Store(0, 1)
+    clock = HybridClock()
+    first = clock.next_stamp(T0)
+    assert clock.next_stamp(T0) == first + 1 and clock.next_stamp(T0 - 9 * SECOND) == first + 2
+    assert clock.observe(first + 10**9, T0) and clock.next_stamp(T0) == first + 10**9 + 1
+    assert not clock.observe(first + 2 * 3600 * 10**6, T0)
+    store = ReplicaStore(0, 1)
     assert store.set_ban("s-1", True, T0, at=T0 + timedelta(hours=2)) is None and store.refused == 1
 
 
 def test_bans_have_a_bound_and_only_old_liftings_make_room() -> None:
-    store = Store(0, 1)
-    for n in range(MOST_BANS):
+    store = ReplicaStore(0, 1)
+    for n in range(MAX_BANS):
         store.set_ban(f"s-{n}", n != 5, T0)
     assert store.set_ban("one-more", True, T0) is None and store.refused == 1
     assert store.set_ban("one-more", True, T0 + timedelta(hours=2)) is not None
-    assert (Kind.BAN, "s-5") not in store.items and len(store.items) == MOST_BANS
+    assert (ItemKind.BAN, "s-5") not in store.items and len(store.items) == MAX_BANS
 
 
 def test_what_has_aged_out_is_forgotten_and_does_not_come_back() -> None:
-    store, other = Store(0, 1), Store(1, 1)
-    store.judge("1:0:0", T0 + SECOND, T0)
-    join(other, store, T0)
-    late = T0 + SECOND + GRACE + SECOND
-    store.age(late)
-    join(store, other, late)
-    assert not store.items and store.digest() == Store(2, 1).digest()
+    store, other = ReplicaStore(0, 1), ReplicaStore(1, 1)
+    store.add_ejection("1:0:0", T0 + SECOND, T0)
+    merge_into(other, store, T0)
+    late = T0 + SECOND + EXPIRY_GRACE + SECOND
+    store.expire(late)
+    merge_into(store, other, late)
+    assert not store.items and store.digest() == ReplicaStore(2, 1).digest()
 
 
 @pytest.mark.parametrize(
     "key, item",
-    [((Kind.BAN, "with space"), Register(1, 1)), ((Kind.JUDGEMENT, "x:0:0"), Tags()),
-     ((Kind.COUNT, "7:1@x"), Parts()), ((Kind.BAN, "s-1"), Tags())],
+    [((ItemKind.BAN, "with space"), LwwRegister(1, 1)), ((ItemKind.EJECTION, "x:0:0"), ObservedRemoveSet()),
+     ((ItemKind.COUNT, "7:1@x"), GrowOnlyCounter()), ((ItemKind.BAN, "s-1"), ObservedRemoveSet())],
 )  # fmt: skip
 def test_names_and_types_that_cannot_be_change_nothing(key: tuple[int, str], item: Item) -> None:
-    store = Store(0, 1)
+    store = ReplicaStore(0, 1)
     assert store.merge(key, item, T0) is None and not store.items and store.refused == 1
 
 
 def test_a_flood_of_changes_is_said_within_the_budget() -> None:
-    copy = Gossip(Store(0, 1), 5, T0, 1)
-    copy.caught_up = True
+    replica = Gossip(ReplicaStore(0, 1), 5, T0, 1)
+    replica.caught_up = True
     now, said = T0, 0
     for n in range(900):
-        copy.changed(copy.store.set_ban(f"stock-node-{n:04}", True, now))
+        replica.announce(replica.store.set_ban(f"stock-node-{n:04}", True, now))
         if n % 45 == 44:
             now += timedelta(milliseconds=50)
-            copy.tick(now)
-            said += len(copy.take()[0])
-    assert said <= DEPTH + RATE * 1.0 + 1
+            replica.tick(now)
+            said += len(replica.take_outputs()[0])
+    assert said <= SEND_BURST + SEND_RATE * 1.0 + 1
 
 
 # --- catching up -------------------------------------------------------------------------------------------
-def two(known: int) -> tuple[Gossip, Gossip]:
+def old_and_new(known: int) -> tuple[Gossip, Gossip]:
     """One that knows so many bans, and one that has just started."""
-    old = Gossip(Store(0, 1), 3, T0, 1)
+    old = Gossip(ReplicaStore(0, 1), 3, T0, 1)
     old.caught_up = True
     for n in range(known):
         old.store.set_ban(f"s-{n:08x}", True, T0)
-    return old, Gossip(Store(1, 9), 3, T0, 2)
+    return old, Gossip(ReplicaStore(1, 9), 3, T0, 2)
 
 
-def exchange(now: datetime, copies: dict[int, Gossip]) -> None:
-    for copy in copies.values():
-        copy.tick(now)
+def exchange(now: datetime, replicas: dict[int, Gossip]) -> None:
+    for replica in replicas.values():
+        replica.tick(now)
     for _ in range(6):
-        for copy in copies.values():
-            for say in copy.take()[0]:
-                if say.peer in copies:
-                    copies[say.peer].heard(say.message, now)
+        for replica in replicas.values():
+            for sent in replica.take_outputs()[0]:
+                if sent.peer in replicas:
+                    replicas[sent.peer].handle_message(sent.message, now)
 
 
 def test_who_starts_with_nothing_is_caught_up_only_with_the_bans() -> None:
-    old, new = two(30)
+    old, new = old_and_new(30)
     new.tick(T0)
     assert not new.caught_up
     now = T0
     while not new.caught_up:
         now += timedelta(milliseconds=50)
         exchange(now, {0: old, 1: new})
-    assert now - T0 < GIVE_UP and new.store.bans_equal(old.store.branch_hashes)
+    assert now - T0 < CATCH_UP_TIMEOUT and new.store.bans_equal(old.store.branch_hashes)
     assert len(new.store.items) == 30
 
 
 def test_who_hears_nobody_serves_after_a_while_and_another_that_knows_nothing_is_no_source() -> None:
-    _, new = two(0)
-    other = Gossip(Store(0, 1), 3, T0, 3)
+    _, new = old_and_new(0)
+    other = Gossip(ReplicaStore(0, 1), 3, T0, 3)
     exchange(T0, {0: other, 1: new})
-    exchange(T0 + GIVE_UP / 2, {0: other, 1: new})
+    exchange(T0 + CATCH_UP_TIMEOUT / 2, {0: other, 1: new})
     assert not new.caught_up  # both are equal, and know nothing
-    new.tick(T0 + GIVE_UP)
+    new.tick(T0 + CATCH_UP_TIMEOUT)
     assert new.caught_up
 
 
 def test_where_all_have_just_started_nobody_waits() -> None:
-    copies = {n: Gossip(Store(n, 1), 3, T0, n) for n in range(3)}
-    exchange(T0, copies)
-    exchange(T0 + timedelta(milliseconds=300), copies)
-    exchange(T0 + timedelta(milliseconds=600), copies)
-    assert all(c.caught_up for c in copies.values())
+    replicas = {n: Gossip(ReplicaStore(n, 1), 3, T0, n) for n in range(3)}
+    exchange(T0, replicas)
+    exchange(T0 + timedelta(milliseconds=300), replicas)
+    exchange(T0 + timedelta(milliseconds=600), replicas)
+    assert all(c.caught_up for c in replicas.values())
 
 
 # --- messages --------------------------------------------------------------------------------------------
 def test_items_of_any_length_are_packed_into_datagrams_and_come_back() -> None:
-    tags = Tags({(n, 2**50 + n): 2**51 for n in range(199)}, frozenset({(3, 2**50 + 3)}))
-    many = Parts({(n, 2**42): 2**30 for n in range(199)})
+    tags = ObservedRemoveSet({(n, 2**50 + n): 2**51 for n in range(199)}, frozenset({(3, 2**50 + 3)}))
+    many = GrowOnlyCounter({(n, 2**42): 2**30 for n in range(199)})
     items: list[tuple[tuple[int, str], Item]] = [
-        ((Kind.BAN, "n" * 100), Register(2**51, 1)), ((Kind.JUDGEMENT, f"{2**63}:{10**5}:9"), tags),
-        ((Kind.COUNT, "7:1@2000000000000000"), many),
+        ((ItemKind.BAN, "n" * 100), LwwRegister(2**51, 1)), ((ItemKind.EJECTION, f"{2**63}:{10**5}:9"), tags),
+        ((ItemKind.COUNT, "7:1@2000000000000000"), many),
     ]  # fmt: skip
-    store = Store(0, 1)
-    for batch in messages.packed(items):
-        data = messages.write(Message(199, 2**42, 2**40, items=batch), b"s")
-        message = messages.read(data, b"s")
+    store = ReplicaStore(0, 1)
+    for batch in messages.pack_items(items):
+        data = messages.encode_message(Message(199, 2**42, 2**40, items=batch), b"s")
+        message = messages.decode_message(data, b"s")
         assert len(data) <= MAX_DATAGRAM_SIZE and message is not None and message.items == batch
         for key, item in message.items:
             store.merge(key, item, datetime(2030, 1, 1, tzinfo=UTC))
@@ -307,22 +311,23 @@
 
 @given(st.binary(max_size=300), st.integers(0, 80))
 def test_a_torn_or_foreign_word_is_none(data: bytes, at: int) -> None:
-    item = (Kind.BAN, "s-1"), Register(2**50, 1)
-    whole = messages.write(Message(1, 1, 1, items=(item,), branches=(b"123456",) * 16), b"s")
-    torn = whole[:at] + data + whole[at + len(data) :]
-    assert torn == whole or messages.read(torn, b"s") is None
-    assert messages.read(data, b"s") is None
+    item = (ItemKind.BAN, "s-1"), LwwRegister(2**50, 1)
+    datagram = messages.encode_message(Message(1, 1, 1, items=(item,), branch_hashes=(b"123456",) * 16), b"s")
+    torn = datagram[:at] + data + datagram[at + len(data) :]
+    assert torn == datagram or messages.decode_message(torn, b"s") is None
+    assert messages.decode_message(data, b"s") is None
 
 
 @pytest.mark.parametrize(
     "message",
-    [Message(-1, 1, 1), Message(1, 1, 1, branches=(b"123456",) * 3), Message(1, 1, 1, branches=(b"1",) * 16),
-     Message(1, 1, 1, leaves=(16, (b"123456",) * 16, False)),
-     Message(1, 1, 1, items=(((Kind.BAN, "s"), Register(-1, 1)),)),
-     Message(1, 1, 1, items=(((9, "s"), Register(1, 1)),))],
+    [Message(-1, 1, 1), Message(1, 1, 1, branch_hashes=(b"123456",) * 3),
+     Message(1, 1, 1, branch_hashes=(b"1",) * 16),
+     Message(1, 1, 1, leaf_hashes=(16, (b"123456",) * 16, False)),
+     Message(1, 1, 1, items=(((ItemKind.BAN, "s"), LwwRegister(-1, 1)),)),
+     Message(1, 1, 1, items=(((9, "s"), LwwRegister(1, 1)),))],
 )  # fmt: skip
 def test_a_word_that_says_what_cannot_be_is_none(message: Message) -> None:
-    assert messages.read(messages.write(message)) is None
+    assert messages.decode_message(messages.encode_message(message)) is None
 
 
 # --- what the decisions hear -------------------------------------------------------------------------------
@@ -339,7 +344,7 @@
     for _ in range(12):
         rig.request()
         assert rig.sends[-1].server != 1
-    gateway.record_outcome(gateway.servers[1], i.Outcome(1, 0, 1, i.End.OK, 0.1), None)
+    gateway.record_outcome(gateway.servers[1], interface.Outcome(1, 0, 1, interface.End.OK, 0.1), None)
     assert active_ejections(gateway, 6.0) == []
 
 
@@ -369,7 +374,7 @@
         assert result.converged_after is not None and result.converged_after < 5.0
         assert result.max_sent_per_second <= 100 and result.max_message_size <= MAX_DATAGRAM_SIZE
         assert len(result.catch_up_times) == len(scenario.restarts)
-        assert max(result.catch_up_times, default=0.0) <= GIVE_UP.total_seconds() + 0.1
+        assert max(result.catch_up_times, default=0.0) <= CATCH_UP_TIMEOUT.total_seconds() + 0.1
 
 
 def test_where_half_of_the_messages_are_lost_late_and_overtaken_copies_are_equal_soon_every_time() -> None:
@@ -385,15 +390,15 @@
 
 
 def test_the_copy_whose_hashes_differed_is_the_next_to_be_told_ours() -> None:
-    copies = {n: Gossip(Store(n, 1), 5, T0, n) for n in range(5)}
+    replicas = {n: Gossip(ReplicaStore(n, 1), 5, T0, n) for n in range(5)}
     for other in (1, 2, 3, 4, 1, 2, 3, 4):  # whoever would be drawn
-        mine, theirs = Gossip(Store(0, 1), 5, T0, other), copies[other]
+        mine, theirs = Gossip(ReplicaStore(0, 1), 5, T0, other), replicas[other]
         mine.caught_up = True
         mine.store.set_ban("s-1", True, T0)
-        mine.heard(Message(other, 1, 1, branches=tuple(theirs.store.branch_hashes)), T0)
+        mine.handle_message(Message(other, 1, 1, branch_hashes=tuple(theirs.store.branch_hashes)), T0)
         mine.tick(T0 + timedelta(milliseconds=100))
-        said = mine.take()[0]
-        assert {say.peer for say in said} == {other}
-        assert [say for say in said if say.message.branches]
+        said = mine.take_outputs()[0]
+        assert {sent.peer for sent in said} == {other}
+        assert [sent for sent in said if sent.message.branch_hashes]
         # And with the hashes of its leaves what hangs there, as it is little: one message's loss fewer.
-        assert any((Kind.BAN, "s-1") in dict(say.message.items) for say in said)
+        assert any((ItemKind.BAN, "s-1") in dict(sent.message.items) for sent in said)
