--- a/tests/test_lease_scenes.py
+++ b/tests/test_lease_scenes.py
@@ -33,18 +33,20 @@
 
 
 @pytest.mark.parametrize("name", SCENES)
-def test_no_tariff_passes_its_bound_and_no_request_is_lost(name: str) -> None:
+def test_no_plan_exceeds_its_bound_and_no_request_is_lost(name: str) -> None:
     scenario = SCENES[name]
     result = asyncio.run(run_scenario(scenario, (CUT + 3.5,)))
     assert result.lost == 0 and result.duplicates == 0
-    told = quota_figures(result, scenario, (CUT, BACK))
-    for deviation in told["plans"].values():
+    figures = quota_figures(result, scenario, (CUT, BACK))
+    for deviation in figures["plans"].values():
         assert deviation["overshoot_percent"] <= deviation["stated_overshoot_percent"]
         assert deviation["wrongly_refused_percent"] <= deviation["stated_refused_percent"]
-    doors = [door for door in result.stats[0][1] if door]
-    gone = [door["leases.counter"] for door in doors].count("gone")
+    stats_by_ingress = [ingress_stats for ingress_stats in result.stats[0][1] if ingress_stats]
+    gone = [ingress_stats["leases.counter"] for ingress_stats in stats_by_ingress].count("gone")
     assert gone >= (0 if "slower" in name else 2)
-    assert all(int(door["peers.words_sent"]) > 0 for door in doors)
+    assert all(int(ingress_stats["peers.words_sent"]) > 0 for ingress_stats in stats_by_ingress)
     if scenario.replicate:
-        assert max(int(door["replica.counts"]) for door in doors) > 0
-        assert all(f"zone.hall-{z}.state" in door for door in doors for z in "abc")
+        assert max(int(ingress_stats["replica.counts"]) for ingress_stats in stats_by_ingress) > 0
+        assert all(
+            f"zone.hall-{z}.state" in ingress_stats for ingress_stats in stats_by_ingress for z in "abc"
+        )
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -94,7 +94,7 @@
             self.step(pause, answering=True)
 
 
-def test_a_busy_account_is_charged_ahead_and_asks_without_calls() -> None:
+def test_busy_account_leases_ahead_and_needs_fewer_calls() -> None:
     rig = HolderRig()
     rig.use(3)
     asks, calls = rig.holder.counts_asked, rig.holder.counter_calls
@@ -104,7 +104,7 @@
     assert sum(rig.totals.values()) > 7.0
 
 
-def test_what_is_handed_back_costs_no_call_and_is_spent_next() -> None:
+def test_returned_units_cost_no_call_and_are_spent_next() -> None:
     rig = HolderRig(lease_ahead=False)
     rig.use(1)
     calls = rig.holder.counter_calls
@@ -114,7 +114,7 @@
     assert rig.last_total() == 1.0 and rig.holder.counter_calls == calls
 
 
-def test_without_leases_ahead_each_ask_is_a_call_of_its_own_amount() -> None:
+def test_without_leases_ahead_each_count_is_one_call() -> None:
     rig = HolderRig(lease_ahead=False)
     for n in range(4):
         rig.request_count()
@@ -123,7 +123,7 @@
         assert rig.last_total() == n + 1
 
 
-def test_asks_behind_a_call_that_is_out_wait_and_go_together() -> None:
+def test_counts_behind_a_call_in_flight_are_batched() -> None:
     rig = HolderRig(lease_ahead=False)
     for _ in range(4):
         rig.request_count()
@@ -132,7 +132,7 @@
     assert [t.total for t in rig.answers] == [1.0, 2.0, 3.0, 4.0] and rig.holder.counter_calls == 2
 
 
-def test_a_lease_not_used_is_handed_back_where_the_quota_is_contested() -> None:
+def test_unused_lease_is_returned_when_the_quota_is_contested() -> None:
     rig = HolderRig()
     rig.use(8, 30 * MS)
     used = 8
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("end", [interface.End.OK, interface.End.TIMEOUT])
-def test_a_name_of_no_known_account_is_asked_as_it_is_and_its_end_is_told(end: interface.End) -> None:
+def test_count_of_an_unknown_name_is_passed_through(end: interface.End) -> None:
     rig = HolderRig()
     rig.holder.request_count(99, 3.0, LIFE, rig.now)
     rig.run_actions(rig.holder.take_actions())
@@ -156,7 +156,7 @@
     ]
 
 
-def test_an_account_that_is_forgotten_has_its_asks_answered() -> None:
+def test_counts_of_a_forgotten_account_are_answered() -> None:
     rig = HolderRig()
     rig.request_count()
     rig.holder._forget_account(rig.holder.accounts[ACCOUNT])
@@ -166,7 +166,7 @@
     assert len(rig.answers) == 1
 
 
-def test_an_answer_that_is_late_is_not_waited_for() -> None:
+def test_late_answer_is_not_waited_for() -> None:
     rig = HolderRig()
     rig.request_count()
     rig.step(60 * MS)
@@ -176,7 +176,7 @@
     assert rig.answers[0].duration == timedelta(0)
 
 
-def test_alone_an_ingress_spends_its_part_of_each_window_and_no_more() -> None:
+def test_detached_ingress_spends_its_share_of_each_window_and_no_more() -> None:
     rig = HolderRig(grant_rights=False)
     rig.use(2)
     rig.cut()
@@ -193,7 +193,7 @@
     assert spent == BURST / SPREAD
 
 
-def test_what_a_used_up_quota_gives_back_is_shared_while_the_counter_is_gone() -> None:
+def test_regained_quota_is_shared_while_the_counter_is_gone() -> None:
     # Each of the account's ingresses let in all that came back: three of them were 37% beyond a quota.
     rig = HolderRig(lease_ahead=False)
     rig.use(int(BURST), pause=20 * MS)
@@ -209,7 +209,7 @@
         assert rig.last_total() == before + n * SPREAD, "its own use stands for the others' as well"
 
 
-def test_a_total_over_the_quota_that_came_late_is_told_in_full() -> None:
+def test_late_total_over_the_quota_is_answered_in_full() -> None:
     # Told as the quota and no more, others' use was forgotten, and the decisions let as much in again.
     rig = HolderRig(lease_ahead=False)
     rig.use(int(BURST), pause=20 * MS)
@@ -225,7 +225,7 @@
     assert rig.last_total() >= BURST + 9
 
 
-def test_a_restarted_ingress_has_no_rights_in_a_window_that_its_former_life_may_have_spent() -> None:
+def test_restarted_ingress_has_no_rights_in_a_window_begun_before_it() -> None:
     rig = HolderRig(now=T0 + timedelta(seconds=1), incarnation=2)
     rig.cut()
     rig.request_count()
@@ -235,7 +235,7 @@
     assert rig.last_total() < BURST
 
 
-def test_an_account_not_met_before_the_cut_is_taken_to_have_used_what_others_told() -> None:
+def test_unknown_account_is_assumed_to_have_used_the_replicated_usage() -> None:
     told = []
     for heard in (None, 16.0):
         rig = HolderRig()
@@ -247,7 +247,7 @@
     assert told == [BURST / 2 + 1, 16.0 + 1]
 
 
-def test_use_near_a_quota_is_told_to_be_replicated_and_other_use_is_not() -> None:
+def test_only_usage_near_the_quota_is_replicated() -> None:
     rig = HolderRig()
     rig.use(5, 20 * MS)
     rig.step(1100 * MS, answering=True)
@@ -259,7 +259,7 @@
     ]
 
 
-def test_what_was_spent_alone_is_charged_once_the_counter_answers() -> None:
+def test_units_spent_while_detached_are_charged_once_the_counter_answers() -> None:
     rig = HolderRig(lease_ahead=False)
     rig.use(2)
     rig.cut(interface.End.CONNECT_FAILED)
@@ -271,7 +271,7 @@
     assert sum(rig.totals.values()) == pytest.approx(spent)
 
 
-def test_who_has_the_counter_leaves_those_without_it_their_parts() -> None:
+def test_peers_without_the_counter_keep_their_shares() -> None:
     rig = HolderRig(lease_ahead=False)
     rig.use(2)
     rig.holder.handle_message(Message(1, 1, 1, True), rig.now)
@@ -284,7 +284,7 @@
     assert rig.last_total() == pytest.approx(9.0)
 
 
-def test_silence_counts_as_being_without_the_counter_for_a_while() -> None:
+def test_silent_peer_counts_as_without_counter_for_a_while() -> None:
     rig = HolderRig(lease_ahead=False)
     rig.use(1)
     rig.holder.handle_message(Message(1, 1, 1, False), rig.now)
@@ -296,7 +296,7 @@
     assert rig.holder._reserved_share(rig.holder.accounts[ACCOUNT]) == 0.0
 
 
-def pair() -> tuple[HolderRig, HolderRig]:
+def detached_pair() -> tuple[HolderRig, HolderRig]:
     """Two ingresses of the account, both alone in a window that began after the cut."""
     rigs = HolderRig(0, incarnation=11), HolderRig(1, incarnation=12)
     for rig in rigs:
@@ -327,8 +327,8 @@
     raise AssertionError("nothing was given")
 
 
-def test_rights_go_to_who_lacks_them_and_a_repeated_word_gives_nothing_twice() -> None:
-    busy, idle = pair()
+def test_rights_move_to_who_needs_them_and_repeated_grants_count_once() -> None:
+    busy, idle = detached_pair()
     grants = exchange_until_granted(busy, idle)
     before, gave = rights(busy), idle.holder.units_granted
     for _ in range(3):
@@ -337,8 +337,8 @@
     assert rights(idle) == pytest.approx(BURST / 2 - gave)
 
 
-def test_a_grant_to_a_former_life_or_of_another_window_gives_nothing() -> None:
-    busy, idle = pair()
+def test_grant_for_another_incarnation_window_or_account_is_ignored() -> None:
+    busy, idle = detached_pair()
     message = exchange_until_granted(busy, idle)[0].message
     before, grant = rights(busy), message.grants[0]
     for wrong in (
@@ -352,8 +352,8 @@
 
 @hyp(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 1), st.integers(0, 3), st.booleans()), max_size=60))
-def test_whatever_is_lost_or_repeated_no_right_is_spent_twice(moves: list[tuple[int, int, bool]]) -> None:
-    rigs = pair()
+def test_no_right_is_spent_twice_whatever_is_lost_or_repeated(moves: list[tuple[int, int, bool]]) -> None:
+    rigs = detached_pair()
     window = int(rigs[0].now.timestamp() // 4)
     for who, what, lost in moves:
         rig, other = rigs[who], rigs[1 - who]
@@ -377,7 +377,7 @@
 GRANT = Grant(2**33 - 1, 255, 1e5, 2**42)
 
 
-def test_the_longest_word_fits_a_datagram_and_comes_back() -> None:
+def test_longest_message_fits_a_datagram_and_round_trips() -> None:
     message = Message(199, 2**42, 2**30, True, (NEED,) * messages.MAX_NEEDS, (GRANT,) * messages.MAX_GRANTS)
     data = messages.encode_message(message, b"secret")
     assert len(data) <= MAX_DATAGRAM_SIZE and messages.decode_message(data, b"secret") == message
@@ -388,7 +388,7 @@
 
 
 @given(st.binary(max_size=300), st.integers(0, 60))
-def test_a_torn_or_foreign_word_is_none(data: bytes, at: int) -> None:
+def test_torn_or_foreign_datagram_is_rejected(data: bytes, at: int) -> None:
     whole = messages.encode_message(Message(1, 1, 1, True, (NEED,), (GRANT,)), b"s")
     torn = whole[:at] + data + whole[at + len(data) :]
     assert torn == whole or messages.decode_message(torn, b"s") is None
@@ -400,12 +400,12 @@
     [Message(1, 1, 1, True, (dataclasses.replace(NEED, ingress_count=0),)), Message(-1, 1, 1, True),
      Message(1, 2**60, 1, True), Message(1, 1, 1, False, (), (dataclasses.replace(GRANT, window=256),))],
 )  # fmt: skip
-def test_a_word_that_says_what_cannot_be_is_none(message: Message) -> None:
+def test_invalid_message_is_rejected(message: Message) -> None:
     assert messages.decode_message(messages.encode_message(message)) is None
 
 
 # --- the counter's health ----------------------------------------------------------------------------------
-class Caller:
+class CounterCaller:
     """Calls one counter by hand."""
 
     def __init__(self) -> None:
@@ -430,8 +430,8 @@
         return self.health.state(self.now)
 
 
-def test_late_answers_begin_trouble_and_do_not_end_it() -> None:
-    caller = Caller()
+def test_late_answers_start_trouble_and_do_not_end_it() -> None:
+    caller = CounterCaller()
     assert not caller.call(30 * MS) and caller.state() is CounterState.ANSWERS
     assert caller.call(30 * MS) and caller.state() is CounterState.SLOW
     for took in (30, 20, 3, 3, 20, 3, 3):
@@ -439,8 +439,8 @@
     assert caller.call(3 * MS) and caller.state() is CounterState.ANSWERS
 
 
-def test_a_slow_counter_is_called_by_one_at_a_time_and_left_a_rest() -> None:
-    caller = Caller()
+def test_slow_counter_gets_one_call_at_a_time_and_rests() -> None:
+    caller = CounterCaller()
     caller.call(30 * MS), caller.call(30 * MS)
     assert not caller.health.may_call(caller.now + 89 * MS) and caller.health.may_call(caller.now + 90 * MS)
     caller.now += 90 * MS
@@ -451,15 +451,15 @@
     assert caller.state() is CounterState.GONE
 
 
-def test_a_counter_that_refuses_at_once_is_not_called_again_at_once() -> None:
-    caller = Caller()
+def test_counter_that_fails_at_once_is_not_called_again_at_once() -> None:
+    caller = CounterCaller()
     caller.call(MS, answered=False), caller.call(MS, answered=False)
     assert caller.state() is CounterState.SLOW
     assert not caller.health.may_call(caller.now + 74 * MS) and caller.health.may_call(caller.now + 75 * MS)
 
 
-def test_a_silent_counter_is_gone_and_gets_only_trials_until_it_answers() -> None:
-    caller = Caller()
+def test_silent_counter_gets_only_trials_until_it_answers() -> None:
+    caller = CounterCaller()
     caller.call(50 * MS, answered=False), caller.call(50 * MS, answered=False)
     trials = 0
     while caller.now < T0 + GONE_AFTER + 2000 * MS:
@@ -494,7 +494,7 @@
 
 
 @pytest.mark.parametrize("name", SCENES)
-def test_each_tariff_stays_within_its_bound_whatever_is_cut(name: str) -> None:
+def test_each_plan_stays_within_its_bound_whatever_is_cut(name: str) -> None:
     scenario = Scenario(seconds=22.0, outage=CUT, **SCENES[name])  # type: ignore[arg-type]
     result = LeaseSimulation(scenario).run()
     assert (
@@ -520,7 +520,7 @@
 )
 
 
-def test_a_counter_that_answers_late_leaves_each_tariff_within_its_bound() -> None:
+def test_each_plan_stays_within_its_bound_with_a_slow_counter() -> None:
     passed = []
     for span, milliseconds, seeds in SLOW_SCENES:
         for seed in seeds:
@@ -541,7 +541,7 @@
     assert not passed
 
 
-def test_today_s_way_passes_the_bounds_that_leases_keep() -> None:
+def test_without_leases_the_bounds_are_exceeded() -> None:
     result = LeaseSimulation(Scenario(mode="today", seconds=22.0, outage=CUT, slowdown=7.7)).run()
     over = [
         result.during_outage[plan.name].overshoot > deviation_bound(plan, CUT[1] - CUT[0], 2, 6).overshoot
@@ -550,14 +550,14 @@
     assert any(over)
 
 
-def test_leases_ask_the_counter_less_and_keep_the_quota() -> None:
+def test_leases_call_the_counter_less_and_keep_the_quota() -> None:
     calm = {"seconds": 16.0, "outage": (90.0, 91.0)}
     today, leased = (LeaseSimulation(Scenario(mode=mode, **calm)).run() for mode in ("today", "on"))  # type: ignore[arg-type]
     assert leased.counter_calls < 0.75 * today.counter_calls
     assert all(leased.outside_outage[plan.name].overshoot < 3.0 for plan in PLANS)
 
 
-def test_a_replay_tells_what_was_beyond_and_what_was_refused_within() -> None:
+def test_replay_finds_overshoot_and_wrong_refusals() -> None:
     plan = AccountPlan("t", 1.0, 2.0, 1, 2)
     when = [(0.0, True), (0.1, True), (0.2, True), (1.3, False), (1.4, True)]
     usage = replay([QuotaDecision(t, 1, 1.0, sent) for t, sent in when], {1: plan}, (0.0, 2.0))
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -45,7 +45,7 @@
         to.merge(key, item, now)
 
 
-def test_every_order_of_few_changes_and_deliveries_ends_in_equal_copies() -> None:
+def test_every_order_of_few_changes_and_deliveries_converges() -> None:
     """All schedules of three changes at three copies, with a delivery between any two of them in between."""
     pairs = list(itertools.permutations(range(3), 2))
     count = 0
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("kind", [registers, counters, tag_sets()], ids=["register", "parts", "tags"])
-def test_merging_has_no_order_and_no_number(kind: st.SearchStrategy[Item]) -> None:
+def test_merge_is_commutative_associative_and_idempotent(kind: st.SearchStrategy[Item]) -> None:
     @hyp(max_examples=150, deadline=None, derandomize=True)
     @given(kind, kind, kind)
     def check(a: Item, b: Item, c: Item) -> None:
@@ -92,7 +92,7 @@
     check()
 
 
-def test_a_ban_and_its_lifting_at_once_leave_the_ban_and_a_later_lifting_lifts_it() -> None:
+def test_simultaneous_ban_and_lift_keep_the_ban_until_a_later_lift() -> None:
     one, other = ReplicaStore(0, 1), ReplicaStore(1, 1)
     one.set_ban("s-1", True, T0, at=T0)
     other.set_ban("s-1", False, T0, at=T0)
@@ -108,7 +108,7 @@
     assert isinstance(item, LwwRegister) and item.value == 0
 
 
-def test_what_one_takes_back_is_what_it_had_heard_and_no_more() -> None:
+def test_removal_covers_only_what_was_seen() -> None:
     one, other = ReplicaStore(0, 1), ReplicaStore(1, 1)
     one.add_ejection("1:0:0", T0 + 9 * SECOND, T0)
     merge_into(other, one, T0)
@@ -119,7 +119,7 @@
     assert one.ejected_by("1:0:0", T0 + 10 * SECOND) == {}  # and it ages out by itself
 
 
-def test_a_new_life_counts_beside_the_old_one() -> None:
+def test_new_incarnation_counts_beside_the_old_one() -> None:
     old, new, peer = ReplicaStore(0, 1), ReplicaStore(0, 2), ReplicaStore(1, 1)
     what = "7:1@2000000000000000"
     old.add_usage(what, 5, T0)
@@ -169,7 +169,7 @@
             self.collect()
 
     @invariant()
-    def no_word_is_too_long(self) -> None:
+    def no_message_is_too_long(self) -> None:
         assert all(len(datagram) <= MAX_DATAGRAM_SIZE for _, datagram in self.in_flight)
 
     def teardown(self) -> None:
@@ -189,7 +189,7 @@
 
 
 # --- bounds ------------------------------------------------------------------------------------------------
-def test_stamps_grow_whatever_the_clock_and_one_far_ahead_is_not_taken() -> None:
+def test_stamps_grow_whatever_the_clock_and_one_far_ahead_is_refused() -> None:
     clock = HybridClock()
     first = clock.next_stamp(T0)
     assert clock.next_stamp(T0) == first + 1 and clock.next_stamp(T0 - 9 * SECOND) == first + 2
@@ -199,7 +199,7 @@
     assert store.set_ban("s-1", True, T0, at=T0 + timedelta(hours=2)) is None and store.refused == 1
 
 
-def test_bans_have_a_bound_and_only_old_liftings_make_room() -> None:
+def test_bans_are_bounded_and_only_old_lifted_ones_are_evicted() -> None:
     store = ReplicaStore(0, 1)
     for n in range(MAX_BANS):
         store.set_ban(f"s-{n}", n != 5, T0)
@@ -208,7 +208,7 @@
     assert (ItemKind.BAN, "s-5") not in store.items and len(store.items) == MAX_BANS
 
 
-def test_what_has_aged_out_is_forgotten_and_does_not_come_back() -> None:
+def test_expired_items_are_dropped_and_do_not_return() -> None:
     store, other = ReplicaStore(0, 1), ReplicaStore(1, 1)
     store.add_ejection("1:0:0", T0 + SECOND, T0)
     merge_into(other, store, T0)
@@ -223,12 +223,12 @@
     [((ItemKind.BAN, "with space"), LwwRegister(1, 1)), ((ItemKind.EJECTION, "x:0:0"), ObservedRemoveSet()),
      ((ItemKind.COUNT, "7:1@x"), GrowOnlyCounter()), ((ItemKind.BAN, "s-1"), ObservedRemoveSet())],
 )  # fmt: skip
-def test_names_and_types_that_cannot_be_change_nothing(key: tuple[int, str], item: Item) -> None:
+def test_invalid_names_and_types_are_refused(key: tuple[int, str], item: Item) -> None:
     store = ReplicaStore(0, 1)
     assert store.merge(key, item, T0) is None and not store.items and store.refused == 1
 
 
-def test_a_flood_of_changes_is_said_within_the_budget() -> None:
+def test_flood_of_changes_stays_within_the_send_budget() -> None:
     replica = Gossip(ReplicaStore(0, 1), 5, T0, 1)
     replica.caught_up = True
     now, said = T0, 0
@@ -261,7 +261,7 @@
                     replicas[sent.peer].handle_message(sent.message, now)
 
 
-def test_who_starts_with_nothing_is_caught_up_only_with_the_bans() -> None:
+def test_new_replica_is_caught_up_only_with_the_bans() -> None:
     old, new = old_and_new(30)
     new.tick(T0)
     assert not new.caught_up
@@ -273,7 +273,7 @@
     assert len(new.store.items) == 30
 
 
-def test_who_hears_nobody_serves_after_a_while_and_another_that_knows_nothing_is_no_source() -> None:
+def test_isolated_replica_serves_after_the_timeout_and_an_empty_peer_is_no_source() -> None:
     _, new = old_and_new(0)
     other = Gossip(ReplicaStore(0, 1), 3, T0, 3)
     exchange(T0, {0: other, 1: new})
@@ -283,7 +283,7 @@
     assert new.caught_up
 
 
-def test_where_all_have_just_started_nobody_waits() -> None:
+def test_nobody_waits_when_all_have_just_started() -> None:
     replicas = {n: Gossip(ReplicaStore(n, 1), 3, T0, n) for n in range(3)}
     exchange(T0, replicas)
     exchange(T0 + timedelta(milliseconds=300), replicas)
@@ -292,7 +292,7 @@
 
 
 # --- messages --------------------------------------------------------------------------------------------
-def test_items_of_any_length_are_packed_into_datagrams_and_come_back() -> None:
+def test_items_of_any_length_are_packed_and_round_trip() -> None:
     tags = ObservedRemoveSet({(n, 2**50 + n): 2**51 for n in range(199)}, frozenset({(3, 2**50 + 3)}))
     many = GrowOnlyCounter({(n, 2**42): 2**30 for n in range(199)})
     items: list[tuple[tuple[int, str], Item]] = [
@@ -310,7 +310,7 @@
 
 
 @given(st.binary(max_size=300), st.integers(0, 80))
-def test_a_torn_or_foreign_word_is_none(data: bytes, at: int) -> None:
+def test_torn_or_foreign_datagram_is_rejected(data: bytes, at: int) -> None:
     item = (ItemKind.BAN, "s-1"), LwwRegister(2**50, 1)
     datagram = messages.encode_message(Message(1, 1, 1, items=(item,), branch_hashes=(b"123456",) * 16), b"s")
     torn = datagram[:at] + data + datagram[at + len(data) :]
@@ -326,12 +326,12 @@
      Message(1, 1, 1, items=(((ItemKind.BAN, "s"), LwwRegister(-1, 1)),)),
      Message(1, 1, 1, items=(((9, "s"), LwwRegister(1, 1)),))],
 )  # fmt: skip
-def test_a_word_that_says_what_cannot_be_is_none(message: Message) -> None:
+def test_invalid_message_is_rejected(message: Message) -> None:
     assert messages.decode_message(messages.encode_message(message)) is None
 
 
 # --- what the decisions hear -------------------------------------------------------------------------------
-def test_an_ejection_of_others_is_taken_over_for_that_start_of_the_node_and_ends() -> None:
+def test_adopted_ejection_applies_to_one_start_of_the_server_and_ends() -> None:
     rig = GatewayRig(settings(), servers=3)
     gateway = rig.gateway
     adopt_ejection(gateway, 1, 0.0, 0, 100.0, 5.0)  # no longer than the decisions eject themselves
@@ -367,7 +367,7 @@
 
 
 @pytest.mark.parametrize("name", SCENES)
-def test_copies_are_equal_within_five_seconds_whatever_was_lost(name: str) -> None:
+def test_replicas_converge_within_five_seconds_whatever_was_lost(name: str) -> None:
     for seed in (1, 2):
         scenario = Scenario(seed=seed, **SCENES[name])  # type: ignore[arg-type]
         result = ReplicaSimulation(scenario).run()
@@ -377,7 +377,7 @@
         assert max(result.catch_up_times, default=0.0) <= CATCH_UP_TIMEOUT.total_seconds() + 0.1
 
 
-def test_where_half_of_the_messages_are_lost_late_and_overtaken_copies_are_equal_soon_every_time() -> None:
+def test_replicas_converge_soon_with_half_of_the_messages_lost_and_others_late() -> None:
     late = []
     for seed in range(40):
         scenario = Scenario(
@@ -389,7 +389,7 @@
     assert sorted(late)[20] < 2.0 and max(late) < 7.0
 
 
-def test_the_copy_whose_hashes_differed_is_the_next_to_be_told_ours() -> None:
+def test_peer_whose_hashes_differed_is_the_next_to_get_ours() -> None:
     replicas = {n: Gossip(ReplicaStore(n, 1), 5, T0, n) for n in range(5)}
     for other in (1, 2, 3, 4, 1, 2, 3, 4):  # whoever would be drawn
         mine, theirs = Gossip(ReplicaStore(0, 1), 5, T0, other), replicas[other]
--- a/tests/test_zone_scenes.py
+++ b/tests/test_zone_scenes.py
@@ -19,18 +19,18 @@
 )  # fmt: skip
 
 
-def scene(scenario: Scenario, *looks: float) -> Result:
+def run_scene(scenario: Scenario, *looks: float) -> Result:
     result = asyncio.run(run_scenario(scenario, looks))
     assert result.lost == 0 and result.duplicates == 0
     assert result.served + result.late + result.refused + result.failed >= 0.99 * result.requests
     return result
 
 
-def states(result: Result, zone: str, look: int = 0) -> list[str]:
-    return [door[f"zone.{zone}.state"] for door in result.stats[look][1] if door]
+def zone_states(result: Result, zone: str, look: int = 0) -> list[str]:
+    return [ingress_stats[f"zone.{zone}.state"] for ingress_stats in result.stats[look][1] if ingress_stats]
 
 
-def told(result: Result, text: str) -> list[int]:
+def log_counts(result: Result, text: str) -> list[int]:
     """How often each ingress's log says so."""
     return [sum(text in line for line in log) for log in result.logs]
 
@@ -43,67 +43,71 @@
     ],
     ids=["refused", "half of the words lost", "all words lost", "one ingress cut off", "silent"],
 )  # fmt: skip
-def test_a_zone_that_goes_is_left_by_all_within_two_seconds_and_returned_to_in_steps(more: str) -> None:
-    result = scene(replace(BASE, schedule=f"{BASE.schedule}\n{more}"), BACK - 0.1, END - 0.2)
-    assert states(result, "hall-a") == ["left"] * 5
+def test_failed_zone_is_left_by_all_within_two_seconds_and_returned_to_in_steps(more: str) -> None:
+    result = run_scene(replace(BASE, schedule=f"{BASE.schedule}\n{more}"), BACK - 0.1, END - 0.2)
+    assert zone_states(result, "hall-a") == ["left"] * 5
     assert max(leave_times(result)) < 2.0
     assert result.max_overload["hall-a"] < 4.0
     # Who hears nobody has to make its two trials alone, and waits longer for its turns.
     alone = "100%" in more or "peers.0.*" in more
-    assert states(result, "hall-a", 1).count("left") <= (5 if alone else 0)
+    assert zone_states(result, "hall-a", 1).count("left") <= (5 if alone else 0)
     assert result.refused < 0.1 * result.requests
-    door = result.stats[0][1][0]
-    assert door["zone.hall-a.share"] == "0.00" and door["zone.hall-a.why"] and door["peers.alive"]
+    ingress_stats = result.stats[0][1][0]
+    assert (
+        ingress_stats["zone.hall-a.share"] == "0.00"
+        and ingress_stats["zone.hall-a.why"]
+        and ingress_stats["peers.alive"]
+    )
 
 
-def test_without_the_part_a_zone_that_is_gone_is_tried_until_it_is_back() -> None:
-    result = scene(replace(BASE, zone_leave="watch"), BACK - 0.1)
+def test_failed_zone_is_tried_until_it_is_back_where_zones_are_only_watched() -> None:
+    result = run_scene(replace(BASE, zone_leave="watch"), BACK - 0.1)
     assert max(leave_times(result)) > 2.5
 
 
-def test_a_slow_zone_is_not_left_and_gets_less() -> None:
+def test_slow_zone_is_not_left_and_gets_less() -> None:
     scenario = replace(BASE, schedule=PEERS, zone_restart=None, zone_slowdown=(1.0, 20.0, "hall-a", 3.0))
     scenario = replace(scenario, seconds=12.0)
-    result = scene(scenario, 5.0, 7.0, 9.0, 10.0, 11.0, 11.8)
-    seen = [state for n in range(6) for state in states(result, "hall-a", n)]
+    result = run_scene(scenario, 5.0, 7.0, 9.0, 10.0, 11.0, 11.8)
+    seen = [state for n in range(6) for state in zone_states(result, "hall-a", n)]
     assert "left" not in seen and seen.count("slow") > 3
     assert result.failed == 0 and result.refused < 0.05 * result.requests
 
 
-def test_a_flapping_zone_is_left_no_more_often_than_it_goes() -> None:
+def test_flapping_zone_is_left_no_more_often_than_it_fails() -> None:
     flaps = "".join(f"{n}s hall-a.* {'cut' if n % 4 == 2 else 'heal'}\n" for n in range(2, 16, 2))
-    result = scene(replace(BASE, schedule=PEERS + flaps, zone_restart=None, seconds=15.0, rate=50.0))
-    left = told(result, "zone hall-a: left")
+    result = run_scene(replace(BASE, schedule=PEERS + flaps, zone_restart=None, seconds=15.0, rate=50.0))
+    left = log_counts(result, "zone hall-a: left")
     assert 1 <= max(left) <= 4  # it goes four times; how soon each knows depends on the machine
     assert result.failed < 0.03 * result.requests and result.refused < 0.01 * result.requests
 
 
-def test_half_a_zone_gone_is_left_node_by_node() -> None:
+def test_half_failed_zone_is_not_left() -> None:
     cut = f"{PEERS}{CUT}s hall-a.s-00 cut\n{CUT}s hall-a.s-01 cut"
-    result = scene(replace(BASE, servers_per_zone=4, schedule=cut, zone_restart=None, seconds=7.0), 6.8)
-    assert len(states(result, "hall-a")) == 5 and "left" not in states(result, "hall-a")
+    result = run_scene(replace(BASE, servers_per_zone=4, schedule=cut, zone_restart=None, seconds=7.0), 6.8)
+    assert len(zone_states(result, "hall-a")) == 5 and "left" not in zone_states(result, "hall-a")
     assert result.refused < 0.01 * result.requests and result.failed < 0.03 * result.requests
 
 
-def test_where_all_zones_fail_what_lives_serves_and_none_is_given_up() -> None:
+def test_when_all_zones_fail_live_servers_serve_and_no_zone_is_given_up() -> None:
     cut = PEERS + "".join(f"{CUT}s hall-{z}.s-{n}{m} cut\n" for n, z in enumerate("abc") for m in (0, 1))
-    result = scene(replace(BASE, schedule=cut, zone_restart=None, rate=20.0, seconds=8.0), 3.0, 5.0, 7.5)
+    result = run_scene(replace(BASE, schedule=cut, zone_restart=None, rate=20.0, seconds=8.0), 3.0, 5.0, 7.5)
     for look in range(3):
-        zones = [states(result, f"hall-{z}", look) for z in "abc"]
+        zones = [zone_states(result, f"hall-{z}", look) for z in "abc"]
         assert all(any(z[k] != "left" for z in zones) for k in range(5))
     # Only in the first moments, before anybody can know, are four attempts of one request spent in vain.
     assert [when for when, end in result.outcomes if end == "refused" and when > CUT + 1.0] == []
     assert result.served > 0.95 * result.requests
 
 
-def test_an_ingress_restarted_in_the_middle_of_a_ramp_does_not_break_it() -> None:
-    result = scene(replace(BASE, ingress_restarts=((BACK + 1.2, 1),), seconds=END + 1), END + 0.5)
+def test_ingress_restarted_during_a_ramp_does_not_break_it() -> None:
+    result = run_scene(replace(BASE, ingress_restarts=((BACK + 1.2, 1),), seconds=END + 1), END + 0.5)
     assert result.max_overload["hall-a"] < 4.0
-    assert "left" not in states(result, "hall-a")
+    assert "left" not in zone_states(result, "hall-a")
 
 
 # --- the schedule itself -----------------------------------------------------------------------------------
-def test_a_schedule_says_what_holds_on_a_path_at_a_time() -> None:
+def test_schedule_gives_the_faults_of_a_path_at_a_time() -> None:
     schedule = Schedule(
         "0s peers.* drop 7.2%  # as seen in service\n0s peers.* delay 2ms 17ms\n3s peers.1.* drop 50%\n"
         "3s hall-a.* cut\n9s hall-a.* heal\n4s hall-a.s-01 silence\n1s peers.* reorder 20%"
@@ -124,6 +128,6 @@
 @pytest.mark.parametrize(
     "line", ["3 a cut", "3s a", "3s a cut now", "3s a drop 2", "0s a delay 3ms 1ms", "0s a drop 120%"]
 )
-def test_a_schedule_that_cannot_be_read_names_its_line(line: str) -> None:
+def test_invalid_schedule_names_its_line(line: str) -> None:
     with pytest.raises(ScheduleError, match="line 2"):
         Schedule(f"0s b cut\n{line}")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -31,15 +31,15 @@
     def __init__(self, config: ZoneConfig = CONFIG, zone_size: int = 3) -> None:
         self.now, self.number = T0, 0
         self.watch = ZoneWatch(config, T0, 1, 7)
-        nodes = [entry(n + 1, zone=n // zone_size) for n in range(3 * zone_size)]
-        self.watch.update_servers(nodes)
+        servers = [entry(n + 1, zone=n // zone_size) for n in range(3 * zone_size)]
+        self.watch.update_servers(servers)
         self.zone_size, self.actions, self.doubt_trials = zone_size, list[Action](), list[int]()
 
-    def attempt(self, node: int, end: interface.End, duration: timedelta = 60 * MS) -> None:
+    def attempt(self, server: int, end: interface.End, duration: timedelta = 60 * MS) -> None:
         self.number += 1
-        zone, key = (node - 1) // self.zone_size, (self.number, 0)
-        self.watch.record_attempt(ReportAttempt(key, node, zone, 0), self.now - duration)
-        self.watch.record_attempt(ReportAttempt(key, node, zone, 0, end, duration), self.now)
+        zone, key = (server - 1) // self.zone_size, (self.number, 0)
+        self.watch.record_attempt(ReportAttempt(key, server, zone, 0), self.now - duration)
+        self.watch.record_attempt(ReportAttempt(key, server, zone, 0, end, duration), self.now)
 
     def receive_report(
         self,
@@ -67,9 +67,11 @@
         """Attempts at all nodes but `skip`; those at `failing` end badly."""
         until = self.now + span
         while self.now < until:
-            for node in range(1, 3 * self.zone_size + 1):
-                if node not in skip:
-                    self.attempt(node, interface.End.CONNECT_FAILED if node in failing else interface.End.OK)
+            for server in range(1, 3 * self.zone_size + 1):
+                if server not in skip:
+                    self.attempt(
+                        server, interface.End.CONNECT_FAILED if server in failing else interface.End.OK
+                    )
             self.step()
 
     def state(self, zone: int = 0) -> ZoneState:
@@ -79,7 +81,7 @@
 FAIL, HEALTHY, UNSURE = Opinion.FAILING, Opinion.HEALTHY, Opinion.UNSURE
 
 
-def test_one_ingress_s_bad_second_leaves_no_zone_and_a_quorum_does() -> None:
+def test_zone_is_left_by_a_quorum_and_not_by_one_ingress() -> None:
     rig = WatchRig()
     rig.run_attempts(1000 * MS)
     rig.receive_report(1, HEALTHY, HEALTHY, HEALTHY)
@@ -94,7 +96,7 @@
     assert any(isinstance(a, LogLine) and "see it fail" in a.text for a in rig.actions)
 
 
-def test_who_hears_nobody_leaves_alone_after_half_a_second() -> None:
+def test_isolated_ingress_leaves_a_zone_after_half_a_second() -> None:
     rig = WatchRig()
     rig.run_attempts(1000 * MS)
     rig.run_attempts(300 * MS, failing=(1, 2, 3))
@@ -107,16 +109,16 @@
     return [a.trial_server for a in rig.actions if isinstance(a, ChangeShare) and a.trial_server]
 
 
-def finish_trial(rig: WatchRig, node: int, end: interface.End) -> None:
+def finish_trial(rig: WatchRig, server: int, end: interface.End) -> None:
     rig.watch.record_attempt(
-        ReportAttempt((0, node), node, (node - 1) // rig.zone_size, 0), rig.now - 20 * MS
+        ReportAttempt((0, server), server, (server - 1) // rig.zone_size, 0), rig.now - 20 * MS
     )
     rig.watch.record_attempt(
-        ReportAttempt((0, node), node, (node - 1) // rig.zone_size, 0, end, 20 * MS), rig.now
+        ReportAttempt((0, server), server, (server - 1) // rig.zone_size, 0, end, 20 * MS), rig.now
     )
 
 
-def test_who_hears_nobody_asks_after_a_zone_that_its_own_requests_no_longer_reach() -> None:
+def test_isolated_ingress_tries_a_zone_that_its_requests_no_longer_reach() -> None:
     rig = WatchRig()
     rig.run_attempts(1000 * MS)
     rig.attempt(1, interface.End.CONNECT_FAILED)
@@ -124,26 +126,26 @@
     assert len(trials(rig)) == 1 and trials(rig)[0] in (2, 3)  # not at the one that failed
     for _ in range(20):
         rig.run_attempts(100 * MS, skip=(1, 2, 3))  # the decisions send nothing there
-        for node in trials(rig):
-            finish_trial(rig, node, interface.End.CONNECT_FAILED)
+        for server in trials(rig):
+            finish_trial(rig, server, interface.End.CONNECT_FAILED)
         rig.actions.clear()
     assert rig.state() is ZoneState.LEFT
     assert rig.watch.zones[0].last_attempt_at is not None
     assert rig.watch.zones[0].last_attempt_at < T0 + 1000 * MS  # a trial costs no request, and counts as none
 
 
-def test_a_doubt_is_asked_after_seldom_while_it_is_answered_and_not_at_all_where_peers_are_heard() -> None:
+def test_trials_of_a_doubtful_zone_are_few_and_none_where_peers_are_heard() -> None:
     rig = WatchRig()
     rig.run_attempts(1000 * MS)
     samples = len(rig.watch.health.zones[0].latency_ratios)
     rig.attempt(1, interface.End.CONNECT_FAILED)
     for _ in range(100):
         rig.step()
-        for node in trials(rig):
-            finish_trial(rig, node, interface.End.OK)
-        asked = trials(rig)
+        for server in trials(rig):
+            finish_trial(rig, server, interface.End.OK)
+        sent = trials(rig)
         rig.actions.clear()
-        rig.doubt_trials += [node for node in asked if node <= 3]
+        rig.doubt_trials += [server for server in sent if server <= 3]
     assert (
         rig.state() is ZoneState.IN and 2 <= len(rig.doubt_trials) <= 7
     )  # for as long as a failure is remembered
@@ -161,14 +163,14 @@
     rig.run_attempts(1000 * MS)
     for _ in range(8):
         rig.run_attempts(100 * MS, failing=(1, 2, 3))
-        for node in trials(rig):
-            finish_trial(rig, node, interface.End.OK)
+        for server in trials(rig):
+            finish_trial(rig, server, interface.End.OK)
         rig.actions.clear()
     assert rig.state() is ZoneState.LEFT
 
 
 @pytest.mark.parametrize("drop", [0.5, 1.0])
-def test_five_who_hear_little_or_nothing_leave_a_zone_that_goes_every_time(drop: float) -> None:
+def test_five_ingresses_with_lost_messages_always_leave_a_failed_zone(drop: float) -> None:
     for seed in (1, 2, 3, 4, 24, 67, 69, 89):  # the last four: too few failures to tell, without trials
         scenario = Scenario(
             ingresses=5,
@@ -188,7 +190,7 @@
 
 
 @pytest.mark.parametrize("zone_size", [4, 12])
-def test_half_a_zone_gone_is_no_zone_gone(zone_size: int) -> None:
+def test_half_failed_zone_is_not_left(zone_size: int) -> None:
     rig = WatchRig(zone_size=zone_size)
     half = tuple(range(1, zone_size // 2 + 1))
     for _ in range(20):
@@ -196,7 +198,7 @@
         assert rig.state() is ZoneState.IN
 
 
-def test_never_is_every_zone_left() -> None:
+def test_never_are_all_zones_left() -> None:
     rig = WatchRig()
     rig.run_attempts(1000 * MS)
     for _ in range(20):
@@ -212,13 +214,13 @@
     assert [rig.state(n) for n in range(3)] == [ZoneState.IN] * 3
 
 
-def test_what_slows_all_zones_makes_none_slow_and_a_slow_one_keeps_a_share() -> None:
+def test_only_a_relatively_slow_zone_is_slow_and_it_keeps_a_share() -> None:
     rig = WatchRig()
     for factor, slow in ((1, 1), (3, 3), (3, 9)):
         for _ in range(80):
-            for node in range(1, 10):
-                duration = 60 * MS * (slow if node <= 3 else factor)
-                rig.attempt(node, interface.End.OK, duration)
+            for server in range(1, 10):
+                duration = 60 * MS * (slow if server <= 3 else factor)
+                rig.attempt(server, interface.End.OK, duration)
             rig.step()
         assert rig.state() is (ZoneState.SLOW if slow > factor else ZoneState.IN)
     assert 0.2 < rig.watch.zones[0].share < 0.5
@@ -232,7 +234,7 @@
     return rig
 
 
-def test_a_zone_is_returned_to_by_a_ramp_and_left_again_after_longer_holds() -> None:
+def test_return_follows_a_ramp_and_holds_grow_while_flapping() -> None:
     rig, holds = leave_first_zone(WatchRig(replace(CONFIG, fleet_size=1))), []
     for _ in range(3):
         since = rig.now
@@ -251,7 +253,7 @@
 
 
 @pytest.mark.parametrize("good", [0, 2], ids=["their return", "their trials"])
-def test_what_was_left_again_is_not_returned_to_for_what_peers_saw_before(good: int) -> None:
+def test_zone_left_again_is_not_returned_to_for_older_reports(good: int) -> None:
     rig = leave_first_zone(WatchRig())
     for n in range(1, 5):
         rig.receive_report(
@@ -268,7 +270,7 @@
     assert rig.state() is ZoneState.RETURNING
 
 
-def test_one_answered_trial_among_failed_ones_is_no_return() -> None:
+def test_one_good_trial_among_failed_ones_starts_no_return() -> None:
     rig = leave_first_zone(WatchRig(replace(CONFIG, fleet_size=1)))
     for n in range(40):
         rig.attempt(1, interface.End.OK if n % 2 else interface.End.CONNECT_FAILED, 2 * MS)
@@ -276,7 +278,7 @@
         assert rig.state() is ZoneState.LEFT
 
 
-def test_a_restarted_ingress_takes_over_what_its_peers_have_judged() -> None:
+def test_restarted_ingress_adopts_the_state_of_its_peers() -> None:
     rig = WatchRig()
     for number in (1, 2, 3):
         rig.receive_report(number, UNSURE, HEALTHY, HEALTHY, state=ZoneState.LEFT)
@@ -294,8 +296,8 @@
         for n in range(40):
             rig.watch.state_changed = True
             rig.run_attempts(50 * MS, failing=(1, 2, 3) if n % 20 < 10 else ())
-        said = [a for a in rig.actions if isinstance(a, SendMessage)]
-        assert sum(len(a.peers) for a in said) <= 100 * 2.1
+        messages_sent = [a for a in rig.actions if isinstance(a, SendMessage)]
+        assert sum(len(a.peers) for a in messages_sent) <= 100 * 2.1
 
 
 @hyp(max_examples=60, deadline=None, derandomize=True)
@@ -307,7 +309,7 @@
     ),
     st.integers(0, 2**15), st.integers(0, 2**50), st.integers(0, 2**50),
 )  # fmt: skip
-def test_a_word_fits_a_datagram_and_comes_back(
+def test_message_fits_a_datagram_and_round_trips(
     zones: list[tuple[Opinion, ZoneState, int, int, int]], sender: int, incarnation: int, sequence: int
 ) -> None:
     rows = tuple(ZoneReport(o, s, timedelta(milliseconds=age), g, b) for o, s, age, g, b in zones)
@@ -324,7 +326,7 @@
 
 @hyp(max_examples=100, deadline=None, derandomize=True)
 @given(st.binary(max_size=300), st.integers(0, 40))
-def test_a_torn_or_foreign_datagram_is_no_word(data: bytes, at: int) -> None:
+def test_torn_or_foreign_datagram_is_rejected(data: bytes, at: int) -> None:
     assert messages.decode_message(data, b"secret") is None
     good = messages.encode_message(Message(1, 2, 3, (ZoneReport(HEALTHY, ZoneState.IN, 0 * MS),)), b"secret")
     assert messages.decode_message(good) is None  # sealed otherwise
@@ -332,7 +334,7 @@
     assert messages.decode_message(b"\x5a\x02" + good[2:], b"secret") is None
 
 
-def test_old_and_impossible_messages_change_nothing() -> None:
+def test_old_and_invalid_messages_are_ignored() -> None:
     rig = WatchRig()
     new = Message(1, 5, 9, (ZoneReport(FAIL, ZoneState.LEFT, 0 * MS),))
     assert rig.watch.fleet.accept(new, T0)
@@ -343,7 +345,7 @@
 
 
 # --- the gateways' part ------------------------------------------------------------------------------------
-TWO = (
+CLASSES = (
     interface.RequestClass(aim=0.8, deadline=2.0),
     interface.RequestClass(aim=0.8, deadline=2.0, idempotency=interface.Idempotency.UNSAFE),
 )
@@ -351,7 +353,7 @@
 
 def zone_rig(**changes: object) -> GatewayRig:
     gateway_settings = settings(
-        use_counter=False, plans=(interface.Plan(),), classes=TWO, allow_cancel=True, **changes
+        use_counter=False, plans=(interface.Plan(),), classes=CLASSES, allow_cancel=True, **changes
     )
     rig = GatewayRig(gateway_settings, servers=0)
     rig.feed(
@@ -360,54 +362,54 @@
     return rig
 
 
-def met(rig: GatewayRig, asks: int, cls: int = 0) -> list[int]:
+def zones_of_requests(rig: GatewayRig, request_count: int, cls: int = 0) -> list[int]:
     before = len(rig.sends)
-    for _ in range(asks):
+    for _ in range(request_count):
         rig.advance_to(rig.now + 0.05)
         assert rig.request(account=rig.request_number, cls=cls) == "sent"
         rig.finish()
     return [s.server % 3 for s in rig.sends[before:]]
 
 
-def test_a_zone_that_is_left_gets_nothing_and_a_returning_one_its_share() -> None:
+def test_left_zone_gets_nothing_and_a_returning_one_its_share() -> None:
     rig = zone_rig()
     rig.feed(interface.ZoneShare(1, 0.0))
-    assert 1 not in met(rig, 60)
+    assert 1 not in zones_of_requests(rig, 60)
     rig.feed(interface.ZoneShare(1, 0.25))
-    assert 0.03 < met(rig, 400).count(1) / 400 < 0.2
+    assert 0.03 < zones_of_requests(rig, 400).count(1) / 400 < 0.2
     rig.feed(interface.ZoneShare(1, 1.0))
-    assert 0.2 < met(rig, 300).count(1) / 300 < 0.5
+    assert 0.2 < zones_of_requests(rig, 300).count(1) / 300 < 0.5
 
 
-def test_a_trial_takes_one_request_that_may_be_repeated() -> None:
+def test_trial_takes_one_repeatable_request() -> None:
     rig = zone_rig()
     rig.feed(interface.ZoneShare(1, 0.0, trial_server=4))
-    assert 1 not in met(rig, 20, cls=1)
-    assert met(rig, 20).count(1) == 1
+    assert 1 not in zones_of_requests(rig, 20, cls=1)
+    assert zones_of_requests(rig, 20).count(1) == 1
 
 
-def test_what_may_be_repeated_is_sent_elsewhere_as_its_zone_is_left() -> None:
+def test_repeatable_requests_are_sent_elsewhere_when_their_zone_is_left() -> None:
     rig = zone_rig()
-    asked = []
+    sent = []
     for n in range(24):
         assert rig.request(account=n, cls=n % 2) == "sent"
-        asked.append((rig.request_number, n % 2, rig.sends[-1].server % 3))
+        sent.append((rig.request_number, n % 2, rig.sends[-1].server % 3))
     before = len(rig.sends)
     cancelled = [
         a.request
         for a in rig.gateway.handle(rig.now, [interface.ZoneShare(1, 0.0)])
         if isinstance(a, interface.Cancel)
     ]
-    assert cancelled == [r for r, cls, hall in asked if hall == 1 and cls == 0] != []
+    assert cancelled == [r for r, cls, zone in sent if zone == 1 and cls == 0] != []
     server = next(s.server for s in rig.sends if s.request == cancelled[0])
     rig.feed(interface.Outcome(cancelled[0], 0, server, interface.End.CANCELLED, 0.1))
     assert [s.request for s in rig.sends[before:]] == [cancelled[0]] and rig.sends[-1].server % 3 != 1
 
 
-def test_all_zones_left_by_mistake_are_all_in_use() -> None:
+def test_all_zones_are_used_when_all_are_left() -> None:
     rig = zone_rig()
     rig.feed(*(interface.ZoneShare(n, 0.0) for n in range(3)))
-    assert len(met(rig, 30)) == 30
+    assert len(zones_of_requests(rig, 30)) == 30
 
 
 # --- 50 ingresses in virtual time --------------------------------------------------------------------------
@@ -419,7 +421,7 @@
     ],
     ids=["7.2% lost", "half lost", "all lost", "told half", "told double", "restarts in the ramp"],
 )  # fmt: skip
-def test_fifty_ingresses_return_within_what_cold_nodes_bear(changes: dict[str, object]) -> None:
+def test_fifty_ingresses_return_without_overloading_cold_servers(changes: dict[str, object]) -> None:
     result = ZoneSimulation(Scenario(seconds=16.0, **changes)).run()  # type: ignore[arg-type]
     assert result.max_overload < 2.0 and result.max_received_per_second <= 100
     assert result.unanswered == 0 and len(result.left_at) >= 40
@@ -429,6 +431,6 @@
         assert result.last_attempt - result.first_failure < 2.5
 
 
-def test_without_the_part_a_cut_zone_is_tried_all_the_time() -> None:
+def test_without_zone_watch_a_failed_zone_is_tried_all_the_time() -> None:
     result = ZoneSimulation(Scenario(seconds=10.0, leave_zones=False)).run()
     assert result.last_attempt is not None and result.last_attempt > 8.5
