--- a/opalgauge/leases/driver.py
+++ b/opalgauge/leases/driver.py
@@ -11,7 +11,7 @@
 from opalgauge.leases.holder import LeaseConfig, LeaseHolder
 from opalgauge.memory.effects import AskLeaseHolder, ReportAccount, ReportCounterResult
 from opalgauge.memory.events import CounterCallRequested, Event, LeaseHolderAnswered
-from opalgauge.wire.peers import Peers
+from opalgauge.wire.peers import PeerSocket
 
 STEP_INTERVAL = 0.02  # s between steps
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         config: LeaseConfig,
-        transport: Peers,
+        transport: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
@@ -32,7 +32,7 @@
         self.transport, self.secret, self.report, self.now, self.log = transport, secret, report, now, log
         start_time = now()
         self.holder = LeaseHolder(config, start_time, int(start_time.timestamp() * 1000), seed)
-        transport.takers[messages.VERSION] = self._on_datagram
+        transport.handlers[messages.VERSION] = self._on_datagram
         # Account, window, its end and units; heard where state is replicated.
         self.on_usage: Callable[[int, int, datetime, float], None] = lambda *_: None
         self.loop = asyncio.get_running_loop()
--- a/opalgauge/replica/driver.py
+++ b/opalgauge/replica/driver.py
@@ -13,8 +13,8 @@
 from opalgauge.replica.crdt import GrowOnlyCounter, LwwRegister
 from opalgauge.replica.gossip import Gossip
 from opalgauge.replica.store import Change, ItemKind, ReplicaStore
-from opalgauge.wire.node_list import node_number
-from opalgauge.wire.peers import Peers
+from opalgauge.wire.peers import PeerSocket
+from opalgauge.wire.server_list import server_id_for
 
 STEP_INTERVAL = 0.05  # s between steps
 EJECTION_QUORUM = 2  # other ingresses that have ejected a stock node: one may be cut off from it
@@ -31,7 +31,7 @@
         self,
         own_index: int,
         fleet_size: int,
-        transport: Peers,
+        transport: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
@@ -50,7 +50,7 @@
         self.gossip = Gossip(self.store, fleet_size, start_time, seed)
         self.published: dict[str, float] = {}  # what this ingress has told of itself, and until when
         self.ejection_quorum = min(EJECTION_QUORUM, max(1, fleet_size - 1))
-        transport.takers[messages.VERSION] = self._on_datagram
+        transport.handlers[messages.VERSION] = self._on_datagram
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
@@ -119,7 +119,7 @@
             kind, name = change.key
             if kind == ItemKind.BAN and isinstance(change.item, LwwRegister):
                 banned, at = bool(change.item.value), to_datetime(change.item.stamp)
-                bans.append(BanStatus(name, node_number(name), banned, at))
+                bans.append(BanStatus(name, server_id_for(name), banned, at))
             elif kind == ItemKind.EJECTION:
                 ejections += self._confirmed_ejections(change)
         if bans:
--- a/opalgauge/zones/driver.py
+++ b/opalgauge/zones/driver.py
@@ -8,7 +8,7 @@
 
 from opalgauge.memory.effects import ReportAttempt, ReportServers
 from opalgauge.memory.events import Event, ZoneShareChanged
-from opalgauge.wire.peers import Peers
+from opalgauge.wire.peers import PeerSocket
 from opalgauge.zones import messages
 from opalgauge.zones.watch import ChangeShare, LogLine, SendMessage, ZoneConfig, ZoneWatch
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         config: ZoneConfig,
-        transport: Peers,
+        transport: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
@@ -36,7 +36,7 @@
         start_time = now()
         incarnation = int(start_time.timestamp() * 1000)
         self.watch = ZoneWatch(config, start_time, incarnation, seed)
-        transport.takers[messages.VERSION] = self._on_datagram
+        transport.handlers[messages.VERSION] = self._on_datagram
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_races_server_list.py
@@ -1,4 +1,7 @@
-"""Pairs of events on the watch of the node list, in the order that does harm, on real connections."""
+"""Races on the connection to the discovery agent, which is a real one.
+
+Each test brings two events about in the order that would do harm.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,8 @@
 import pytest
 
 from opalgauge.memory.events import AddressesChanged
-from opalgauge.wire.line import LineProtocol
-from tests.crossing import (
+from opalgauge.wire.upstream import UpstreamConnection
+from tests.race_rig import (
     MS,
     Scene,
     StandIn,
@@ -26,7 +29,7 @@
 
 
 async def next_list_request(running: Scene, stand_in: StandIn | None = None) -> tuple[StandInConnection, str]:
-    """The next connection for a watch, and what is asked over it."""
+    """The next connection to the agent, and the target of the request that comes over it."""
     connection = await (stand_in or running.server_list).next_connection()
     return connection, await read_list_request(connection)
 
@@ -35,8 +38,8 @@
     return (await connection.read_request()).split(b" ")[1].decode()
 
 
-async def wait_for_drips(protocol: LineProtocol, count: int) -> None:
-    await wait_until(lambda: protocol.over or protocol.heard.endswith(b" " * count))
+async def wait_for_drips(protocol: UpstreamConnection, count: int) -> None:
+    await wait_until(lambda: protocol.closed or protocol.received.endswith(b" " * count))
 
 
 async def wait_until_closed(running: Scene, connection_id: int) -> None:
@@ -44,16 +47,16 @@
 
 
 def move_list_agent(running: Scene, address: str) -> None:
-    running.exchange.report(AddressesChanged(running.state.counter_address, address))
+    running.runtime.report(AddressesChanged(running.state.counter_address, address))
 
 
 async def assert_forwarded_to(running: Scene, server_number: int) -> None:
-    """A new request is sent to that stock node and to no other."""
-    before = [len(p.all_connections) for p in running.servers]
+    """A new request is forwarded to this server and to no other."""
+    before = [len(stand_in.all_connections) for stand_in in running.servers]
     answer = await running.send_request(place_request(f"new-{server_number}"))
     connection = await running.servers[server_number].next_connection()
     await connection.read_request()
-    after = [len(p.all_connections) for p in running.servers]
+    after = [len(stand_in.all_connections) for stand_in in running.servers]
     assert [n for n in range(len(before)) if after[n] > before[n]] == [server_number]
     connection.send(ok_response(b"done"))
     assert (await answer).endswith(b"done")
@@ -74,11 +77,13 @@
     async def scenario() -> None:
         async with scene(list_wait=timedelta(seconds=wait)) as running:
             list_connection, first = await next_list_request(running)
-            heard = len(ANSWER_BEGINNINGS[beginning])
+            received = len(ANSWER_BEGINNINGS[beginning])
             list_connection.send(ANSWER_BEGINNINGS[beginning])
-            if heard:
-                line = running.exchange.lines[running.state.list_connection_id]
-                await wait_until(lambda: len(line.heard) >= heard or line.halting or beginning == "only 1xx")
+            if received:
+                protocol = running.runtime.connections[running.state.list_connection_id]
+                await wait_until(
+                    lambda: len(protocol.received) >= received or protocol.partial or beginning == "only 1xx"
+                )
             running.pass_time(timedelta(seconds=wait) + 500 * MS)
             running.pass_time(150 * MS)
             other, again = await next_list_request(running)
@@ -91,26 +96,26 @@
 
 
 def test_a_list_that_drips_for_ever_is_replaced_too() -> None:
-    # Guards against a silence timer that every byte sets back.
+    # The timeout must not start again with every byte.
     async def scenario() -> None:
         async with scene() as running:
             list_connection, _ = await next_list_request(running)
             list_connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-            line = running.exchange.lines[running.state.list_connection_id]
+            protocol = running.runtime.connections[running.state.list_connection_id]
             for n in range(1, 30):
-                if running.state.list_connection_id != line.number or line.over:
+                if running.state.list_connection_id != protocol.connection_id or protocol.closed:
                     break
                 list_connection.send(b" ")
-                await wait_for_drips(line, n)
+                await wait_for_drips(protocol, n)
                 running.pass_time(60 * MS)
-            assert line.over and n < 25
+            assert protocol.closed and n < 25
             await next_list_request(running)
 
     run_scene(scenario)
 
 
 def test_a_server_that_drains_just_after_a_list_reset_gets_no_new_request() -> None:
-    # The new watch is opened at once: not after a pause in which what is told counts as heard.
+    # The agent takes what it tells meanwhile for known, so the new connection is opened without a pause.
     async def scenario() -> None:
         async with scene(server_count=2) as running:
             list_connection, _ = await next_list_request(running)
@@ -148,8 +153,8 @@
             list_connection.send(
                 b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body)
             )
-            line = running.state.connections[running.state.list_connection_id]
-            await wait_until(lambda: line.since is None)
+            connection = running.state.connections[running.state.list_connection_id]
+            await wait_until(lambda: connection.since is None)
             assert len(running.server_list.all_connections) == 1
             running.pass_time(150 * MS)
             assert await read_list_request(
@@ -163,7 +168,7 @@
     async def scenario() -> None:
         async with scene(server_count=2) as running:
             list_connection, _ = await next_list_request(running)
-            # The old answer is on its way, and lies in the kernel, as the watch is given up.
+            # The old answer is in the kernel when the connection is given up.
             answer_list(list_connection, 20, running.list_entry(0), running.list_entry(1), is_complete=True)
             await list_connection.writer.drain()
             running.pass_time(1400 * MS)
@@ -176,16 +181,16 @@
 
 
 @pytest.mark.parametrize(
-    ("seq", "whole", "taken", "since"),
+    ("seq", "is_complete", "accepted", "since"),
     [
-        (7, False, True, "since=7&"),  # the same again
-        (900, False, True, "since=900&"),  # it may jump
-        (3, False, False, None),  # changes of a list that was counted anew
-        (3, True, True, "since=3&"),  # the whole list, counted anew
+        (7, False, True, "since=7&"),  # the same version again
+        (900, False, True, "since=900&"),  # versions may be left out
+        (3, False, False, None),  # changes of a list whose versions have started again
+        (3, True, True, "since=3&"),  # the complete list, with such a version
     ],
 )
 def test_list_versions_that_repeat_jump_or_go_back(
-    seq: int, whole: bool, taken: bool, since: str | None
+    seq: int, is_complete: bool, accepted: bool, since: str | None
 ) -> None:
     async def scenario() -> None:
         async with scene(server_count=2) as running:
@@ -196,17 +201,17 @@
                 seq,
                 running.list_entry(0, "terminating"),
                 running.list_entry(1),
-                is_complete=whole,
+                is_complete=is_complete,
                 indent=2,
             )
-            if taken:
+            if accepted:
                 assert f"?{since}" in await read_list_request(list_connection)
                 await assert_forwarded_to(running, 1)
             else:
                 await wait_until(lambda: not running.state.list_reachable)
                 running.pass_time(150 * MS)
                 other, again = await next_list_request(running)
-                assert "since" not in again, "the whole list is asked for"
+                assert "since" not in again, "the complete list is asked for"
                 answer_list(other, 3, running.list_entry(1), is_complete=True)
                 assert "since=3&" in await read_list_request(other)
                 await assert_forwarded_to(running, 1)
@@ -265,8 +270,8 @@
             if state == "half a list":
                 body = json.dumps({"seq": 8, "whole": True, "hosts": [running.list_entry(0)]}).encode()
                 list_connection.send(ok_response(body)[:-5])
-                line = running.exchange.lines[running.state.list_connection_id]
-                await wait_until(lambda: line.heard)
+                protocol = running.runtime.connections[running.state.list_connection_id]
+                await wait_until(lambda: protocol.received)
             elif state == "down":
                 assert running.server_list.server is not None
                 running.server_list.server.close()
@@ -276,11 +281,11 @@
             new, first = await next_list_request(running, other)
             assert "since" not in first
             if state == "half a list":
-                list_connection.send(body[-5:])  # the old one's end comes all the same
+                list_connection.send(body[-5:])  # the rest of the old answer still comes
             answer_list(new, 2, running.list_entry(0, "terminating"), running.list_entry(1), is_complete=True)
             assert "since=2&" in await read_list_request(new)
             await assert_forwarded_to(running, 1)
-            running.pass_time(timedelta(milliseconds=900))  # what was due for the old one asks nobody
+            running.pass_time(timedelta(milliseconds=900))  # timers of the old connection ask nobody
             assert len(other.all_connections) == 1 and len(running.server_list.all_connections) == 1
             other.close()
 
@@ -327,7 +332,7 @@
 
 
 def test_an_agent_that_refuses_is_asked_again_within_seconds_where_lists_are_pushed() -> None:
-    # Guards against a pause longer than the time after which what it had to tell counts as told.
+    # After a longer pause the agent would take what it had to tell for known.
     async def scenario() -> None:
         async with scene() as running:
             for _ in range(8):
