--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -96,12 +96,12 @@
     transport = PeerSocket(peering.peers, asyncio.get_running_loop().time)
     services: list[PeerService] = []
     if peering.watches_zones:
-        from opalgauge.zones.channel import Channel as ZoneChannel
-        from opalgauge.zones.watch import Rules as ZoneRules
+        from opalgauge.zones.driver import ZoneDriver
+        from opalgauge.zones.watch import ZoneConfig
 
         usual_latencies = tuple(timedelta(seconds=c.aim / 5) for c in settings.classes)
         slow_start_duration = timedelta(seconds=settings.slow_start_duration)
-        zone_rules = ZoneRules(
+        zone_config = ZoneConfig(
             config.zones,
             settings.gateways,
             settings.gateway_index,
@@ -110,36 +110,34 @@
             settings.slow_start_share,
             peering.acts_on_zones,
         )
-        zone_channel = ZoneChannel(
-            zone_rules, transport, peering.secret, seed, runtime.report, clock.now, log
-        )
-        runtime.effect_handlers[effects.ReportAttempt] = zone_channel.seen
-        runtime.effect_handlers[effects.ReportServers] = zone_channel.listed
-        services.append(zone_channel)
-    lease_channel = None
+        zone_driver = ZoneDriver(zone_config, transport, peering.secret, seed, runtime.report, clock.now, log)
+        runtime.effect_handlers[effects.ReportAttempt] = zone_driver.on_attempt
+        runtime.effect_handlers[effects.ReportServers] = zone_driver.on_servers
+        services.append(zone_driver)
+    lease_driver = None
     if config.ingress.uses_leases:
-        from opalgauge.leases.channel import Channel as LeaseChannel
-        from opalgauge.leases.holder import Rules as LeaseRules
+        from opalgauge.leases.driver import LeaseDriver
+        from opalgauge.leases.holder import LeaseConfig
 
         plans = tuple((p.rate, p.burst) for p in settings.plans)
         leases_ahead, grants_to_peers = peering.lease_mode in ("ahead", "on"), peering.lease_mode == "on"
-        lease_rules = LeaseRules(
+        lease_config = LeaseConfig(
             settings.gateway_index, settings.gateways, plans, leases_ahead, grants_to_peers
         )
-        lease_channel = LeaseChannel(
-            lease_rules, transport, peering.secret, seed, runtime.report, clock.now, log
+        lease_driver = LeaseDriver(
+            lease_config, transport, peering.secret, seed, runtime.report, clock.now, log
         )
-        runtime.effect_handlers[effects.ReportAccount] = lease_channel.met
-        runtime.effect_handlers[effects.AskLeaseHolder] = lease_channel.asked
-        runtime.effect_handlers[effects.ReportCounterResult] = lease_channel.counted
-        services.append(lease_channel)
+        runtime.effect_handlers[effects.ReportAccount] = lease_driver.on_account
+        runtime.effect_handlers[effects.AskLeaseHolder] = lease_driver.on_count
+        runtime.effect_handlers[effects.ReportCounterResult] = lease_driver.on_counter_result
+        services.append(lease_driver)
     wait_until_ready = None
     if peering.replicates:
-        from opalgauge.replica.channel import Channel as ReplicaChannel
+        from opalgauge.replica.driver import ReplicaDriver
         from starlinggap.snapshot import active_ejections
 
         gateway = runtime.reducer.gateway
-        replica_channel = ReplicaChannel(
+        replica_driver = ReplicaDriver(
             settings.gateway_index,
             settings.gateways,
             transport,
@@ -149,14 +147,14 @@
             clock.now,
             lambda: active_ejections(gateway, clock.now().timestamp()),
         )
-        runtime.effect_handlers[effects.ReplicateBan] = replica_channel.marked
-        if lease_channel is not None:
-            lease_channel.spent, lease_channel.leases.heard_of = (
-                replica_channel.spent,
-                replica_channel.heard_of,
+        runtime.effect_handlers[effects.ReplicateBan] = replica_driver.on_ban
+        if lease_driver is not None:
+            lease_driver.on_usage, lease_driver.holder.replicated_usage = (
+                replica_driver.add_usage,
+                replica_driver.usage,
             )
-        services.append(replica_channel)
-        wait_until_ready = replica_channel.ready
+        services.append(replica_driver)
+        wait_until_ready = replica_driver.wait_caught_up
     return PeerServices(transport, services, wait_until_ready)
 
 
