--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -223,11 +223,11 @@
 
 
 def check_request(name: str, time_left: str = "1.0") -> bytes:
-    return harness.request("GET", "/stock-check", left=time_left, name=name)
+    return harness.request("GET", "/stock-check", time_left=time_left, correlation_id=name)
 
 
 def place_request(name: str) -> bytes:
-    return harness.request("POST", "/place-order", left="2.0", name=name)
+    return harness.request("POST", "/place-order", time_left="2.0", correlation_id=name)
 
 
 def answer_list(
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -40,16 +40,18 @@
 
 
 @dataclass
-class Seen:
+class Received:
     """What a stand-in received: whole requests, and how many connections."""
 
     requests: list[bytes] = field(default_factory=list)
     connections: int = 0
-    ended: asyncio.Event = field(default_factory=asyncio.Event)  # a connection was ended by the ingress
+    connection_ended: asyncio.Event = field(
+        default_factory=asyncio.Event
+    )  # a connection was ended by the ingress
 
 
-Parties = ParamSpec("Parties")
-Script = Callable[[bytes, asyncio.StreamWriter], Any]
+Parameters = ParamSpec("Parameters")
+Responder = Callable[[bytes, asyncio.StreamWriter], Any]
 
 
 async def read_request(reader: asyncio.StreamReader) -> bytes:
@@ -62,51 +64,51 @@
 
 
 @contextlib.asynccontextmanager
-async def party(script: Script) -> AsyncIterator[tuple[str, Seen]]:
-    """A stand-in on a port of its own; `script` answers each request or does not."""
-    seen = Seen()
-    open_ones: set[asyncio.StreamWriter] = set()
-
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        seen.connections += 1
-        open_ones.add(writer)
+async def stand_in(respond: Responder) -> AsyncIterator[tuple[str, Received]]:
+    """A stand-in on a port of its own; `respond` answers each request or does not."""
+    received = Received()
+    open_writers: set[asyncio.StreamWriter] = set()
+
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        received.connections += 1
+        open_writers.add(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while not writer.is_closing():
                 request = await read_request(reader)
-                seen.requests.append(request)
-                answer = script(request, writer)
-                if asyncio.iscoroutine(answer):
-                    answer = await answer
-                if answer:
-                    writer.write(answer)
-        seen.ended.set()
+                received.requests.append(request)
+                response = respond(request, writer)
+                if asyncio.iscoroutine(response):
+                    response = await response
+                if response:
+                    writer.write(response)
+        received.connection_ended.set()
         writer.close()
 
-    server = await asyncio.start_server(talk, "127.0.0.1", 0)
+    server = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     try:
-        yield f"{host}:{port}", seen
+        yield f"{host}:{port}", received
     finally:
         server.close()
-        for writer in open_ones:
+        for writer in open_writers:
             writer.close()
 
 
-def counter() -> Script:
+def counter() -> Responder:
     """Keeps the totals of its names."""
     totals: dict[bytes, float] = {}
 
-    def script(request: bytes, _: asyncio.StreamWriter) -> bytes:
+    def respond(request: bytes, _: asyncio.StreamWriter) -> bytes:
         target = request.split(b" ")[1]
         name, __, query = target.partition(b"?")
         totals[name] = totals.get(name, 0.0) + float(query.split(b"&")[0].split(b"=")[1])
         body = f"{totals[name]:g}".encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
-    return script
+    return respond
 
 
-def silent(_: bytes, __: asyncio.StreamWriter) -> None:
+def no_response(_: bytes, __: asyncio.StreamWriter) -> None:
     """Takes a request and says nothing."""
 
 
@@ -115,12 +117,12 @@
     address: tuple[str, int]
     process: asyncio.subprocess.Process
     config: dict[str, Any]
-    path: Path
-    door: tuple[str, int] = ("", 0)
+    config_path: Path
+    console_address: tuple[str, int] = ("", 0)
 
-    async def call(self, line: bytes) -> bytes:
+    async def call_console(self, line: bytes) -> bytes:
         """What the admin endpoint answers to a call, up to the connection's end."""
-        reader, writer = await asyncio.open_connection(*self.door)
+        reader, writer = await asyncio.open_connection(*self.console_address)
         writer.write(line)
         try:
             return await asyncio.wait_for(reader.read(), 20)
@@ -129,13 +131,13 @@
 
     async def reconfigure(self, **changes: Any) -> None:
         """Replaces the configuration's file and says so; returns once that has been logged."""
-        self.path.write_text(json.dumps({**self.config, **changes}))
+        self.config_path.write_text(json.dumps({**self.config, **changes}))
         self.process.send_signal(signal.SIGHUP)
         assert self.process.stderr is not None
         while b"reload" not in await asyncio.wait_for(self.process.stderr.readline(), 60):
             assert self.process.returncode is None
 
-    async def raw(self, data: bytes) -> bytes:
+    async def exchange(self, data: bytes) -> bytes:
         """What comes back on a connection of its own, up to its end or a whole answer."""
         reader, writer = await asyncio.open_connection(*self.address)
         try:
@@ -144,22 +146,24 @@
         finally:
             writer.close()
 
-    async def ask(self, method: str, target: str, body: bytes = b"", more: str = "") -> bytes:
-        return await self.raw(request(method, target, body, more))
+    async def send_request(
+        self, method: str, target: str, body: bytes = b"", extra_headers: str = ""
+    ) -> bytes:
+        return await self.exchange(request(method, target, body, extra_headers))
 
 
 def request(
     method: str,
     target: str,
     body: bytes = b"",
-    more: str = "",
-    left: str = "1.0",
-    name: str = "9b1f03aa5c7e2d41",
+    extra_headers: str = "",
+    time_left: str = "1.0",
+    correlation_id: str = "9b1f03aa5c7e2d41",
 ) -> bytes:
     head = (
-        f"{method} {target} HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: {name}\r\n"
-        f"X-Tier: negoce\r\nCookie: customer=00000000b4d65521\r\nX-Time-Left: {left}\r\n"
-        f"X-Call-Terms: units=2,spread=2,first=0\r\n{more}"
+        f"{method} {target} HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: {correlation_id}\r\n"
+        f"X-Tier: negoce\r\nCookie: customer=00000000b4d65521\r\nX-Time-Left: {time_left}\r\n"
+        f"X-Call-Terms: units=2,spread=2,first=0\r\n{extra_headers}"
     )
     return (head + (f"Content-Length: {len(body)}\r\n" if body else "") + "\r\n").encode() + body
 
@@ -169,34 +173,36 @@
 
 
 @contextlib.asynccontextmanager
-async def starting(
-    node: str,
-    quota: str,
-    nodes: str,
+async def starting_ingress(
+    server_address: str,
+    counter_address: str,
+    discovery_address: str,
     listener: socket.socket | None = None,
-    scratch: str = "",
+    temp_folder: str = "",
     port: int = 0,
     settings: dict[str, Any] = SETTINGS,
     environ: Mapping[str, str] = MappingProxyType({}),
 ) -> AsyncIterator[Ingress]:
     """The program itself, as `run` starts it, between the given parties.
 
-    With `listener` the clients' socket is inherited, and `scratch` is the folder that its processes share.
+    With `listener` the clients' socket is inherited, and `temp_folder` is the folder that its processes
+    share.
     """
-    port, door = port or free_port(), free_port()
-    host = {"host": "s-1", "dial": node, "site": "bat-a", "class": "std-2c", "block": 0,
+    port, console_port = port or free_port(), free_port()
+    host = {"host": "s-1", "dial": server_address, "site": "bat-a", "class": "std-2c", "block": 0,
             "health": "in_service", "share": 1.0, "born_ms": 0}  # fmt: skip
     config = {
-        "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": nodes, "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": quota,
+        "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": discovery_address,
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": counter_address,
         "known": {"seq": 41, "whole": True, "hosts": [host]}, "settings": settings,
-        "console": f"127.0.0.1:{door}",
+        "console": f"127.0.0.1:{console_port}",
     }  # fmt: skip
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config))
         env = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
-        env |= {"BALANCER_CONFIG": str(path), "TMPDIR": scratch or folder, **environ}
+        env |= {"BALANCER_CONFIG": str(path), "TMPDIR": temp_folder or folder, **environ}
         if listener is not None:
             port = listener.getsockname()[1]
             env["BALANCER_LISTEN_FD"] = str(listener.fileno())
@@ -205,7 +211,7 @@
             pass_fds=() if listener is None else (listener.fileno(),),
         )  # fmt: skip
         try:
-            yield Ingress(("127.0.0.1", port), process, config, path, ("127.0.0.1", door))
+            yield Ingress(("127.0.0.1", port), process, config, path, ("127.0.0.1", console_port))
         finally:
             if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
@@ -213,20 +219,22 @@
             await process.wait()
 
 
-def until_ready(
-    start: Callable[Parties, contextlib.AbstractAsyncContextManager[Ingress]],
-) -> Callable[Parties, contextlib.AbstractAsyncContextManager[Ingress]]:
+def wait_until_ready(
+    start: Callable[Parameters, contextlib.AbstractAsyncContextManager[Ingress]],
+) -> Callable[Parameters, contextlib.AbstractAsyncContextManager[Ingress]]:
     """The same start, handed over once the program is ready to serve."""
 
     @contextlib.asynccontextmanager
-    async def ready(*parties: Parties.args, **more: Parties.kwargs) -> AsyncIterator[Ingress]:
-        async with start(*parties, **more) as one:
-            assert one.process.stderr is not None
-            while b"ready" not in (line := await asyncio.wait_for(one.process.stderr.readline(), 60)):
+    async def start_and_wait(
+        *arguments: Parameters.args, **keywords: Parameters.kwargs
+    ) -> AsyncIterator[Ingress]:
+        async with start(*arguments, **keywords) as ingress:
+            assert ingress.process.stderr is not None
+            while b"ready" not in (line := await asyncio.wait_for(ingress.process.stderr.readline(), 60)):
                 assert any(word in line for word in (b"maint", b"handover", b"clock:"))
-            yield one
+            yield ingress
 
-    return ready
+    return start_and_wait
 
 
-ingress = until_ready(starting)
+ready_ingress = wait_until_ready(starting_ingress)
--- a/tests/kill_scene.py
+++ b/tests/kill_scene.py
@@ -130,7 +130,7 @@
         """A connection for each name, over which one request was answered."""
         for name in names:
             client = await self.open(name)
-            client.say(harness.request("GET", "/stock-check", name=f"warm-{name}"))
+            client.say(harness.request("GET", "/stock-check", correlation_id=f"warm-{name}"))
             assert b" 200 " in await harness.read_request(client.reader)
             client.follow()
 
@@ -141,7 +141,9 @@
 
     def place(self, name: str, more: str = "", body: bytes = b"x") -> None:
         """A request that must not run twice, whose client waits as long as the deployment lets it."""
-        data = harness.request("POST", "/place-order", body, more, left=f"{self.deadline}", name=name)
+        data = harness.request(
+            "POST", "/place-order", body, more, time_left=f"{self.deadline}", correlation_id=name
+        )
         self.clients[name].say(data)
 
     def stop(self) -> Stop:
@@ -153,7 +155,7 @@
 
 @contextlib.asynccontextmanager
 async def scene(
-    deadline: float, successor: bool, quota: harness.Script | None = None
+    deadline: float, successor: bool, quota: harness.Responder | None = None
 ) -> AsyncIterator[tuple[Scene, Any]]:
     """An ingress, and what starts its successor: a context manager, void where there is to be none."""
     with socket.socket() as listener, tempfile.TemporaryDirectory() as scratch:
@@ -161,11 +163,11 @@
         listener.listen(64)
         shared = listener if successor else None
         async with (
-            harness.party(server_script) as (node_at, _),
-            harness.party(quota or harness.counter()) as (quota_at, _),
-            harness.party(harness.silent) as (list_at, _),
+            harness.stand_in(server_script) as (node_at, _),
+            harness.stand_in(quota or harness.counter()) as (quota_at, _),
+            harness.stand_in(harness.no_response) as (list_at, _),
         ):
             parties = node_at, quota_at, list_at, shared, scratch, 0, settings(deadline)
-            async with harness.ingress(*parties) as ingress:
-                second = harness.ingress(*parties) if successor else contextlib.nullcontext()
+            async with harness.ready_ingress(*parties) as ingress:
+                second = harness.ready_ingress(*parties) if successor else contextlib.nullcontext()
                 yield Scene(ingress, deadline, parties), second
--- a/tests/shim/__init__.py
+++ b/tests/shim/__init__.py
@@ -16,23 +16,23 @@
 
 SOURCE = Path(__file__).parent / "shim.c"
 FAULTS = (
-    "accept", "socket", "connect", "read", "write", "short_read", "short_write", "hold_up", "wall_clock",
-    "folder",
+    "accept", "socket", "connect", "read", "write", "short_read", "short_write", "delay_write", "wall_clock",
+    "file_system",
 )  # fmt: skip
-ALWAYS = 100  # percent
-FIELD = struct.calcsize("q")
+ALL_CALLS = 100  # percent
+FIELD_SIZE = struct.calcsize("q")
 
 
-class NoCompiler(RuntimeError):
+class CompilerNotFound(RuntimeError):
     """The tests' machine has no C compiler."""
 
 
 @functools.cache
-def library() -> Path:
+def compiled_library() -> Path:
     """The compiled library, made once for all tests of a run."""
     compiler = shutil.which("cc") or shutil.which("gcc") or shutil.which("clang")
     if compiler is None:
-        raise NoCompiler("the tests need a C compiler: cc, gcc or clang")
+        raise CompilerNotFound("the tests need a C compiler: cc, gcc or clang")
     target = Path(tempfile.mkdtemp(prefix="opalgauge-shim-")) / "shim.so"
     subprocess.run(
         [compiler, "-shared", "-fPIC", "-O1", "-Wall", "-Werror", "-o", str(target), str(SOURCE), "-ldl"],
@@ -46,23 +46,23 @@
 
     def __init__(self, folder: str, seed: int = 1) -> None:
         self.path = Path(folder) / "shim.control"
-        size = FIELD * (1 + 3 * len(FAULTS))
+        size = FIELD_SIZE * (1 + 3 * len(FAULTS))
         self.path.write_bytes(b"\0" * size)
         with open(self.path, "r+b") as file:
-            self.memory = mmap.mmap(file.fileno(), size)
-        struct.pack_into("q", self.memory, 0, seed)
-        self.environ = {"LD_PRELOAD": str(library()), "OPALGAUGE_SHIM": str(self.path)}
+            self.control = mmap.mmap(file.fileno(), size)
+        struct.pack_into("q", self.control, 0, seed)
+        self.environ = {"LD_PRELOAD": str(compiled_library()), "OPALGAUGE_SHIM": str(self.path)}
 
-    def _at(self, fault: str) -> int:
-        return FIELD * (1 + 3 * FAULTS.index(fault))
+    def _offset(self, fault: str) -> int:
+        return FIELD_SIZE * (1 + 3 * FAULTS.index(fault))
 
-    def give(self, fault: str, value: int, percent: int = ALWAYS) -> None:
+    def inject(self, fault: str, value: int, percent: int = ALL_CALLS) -> None:
         """From now on. `value`: errno, bytes, milliseconds or seconds, as the library's source says."""
-        struct.pack_into("qq", self.memory, self._at(fault), value, percent)
+        struct.pack_into("qq", self.control, self._offset(fault), value, percent)
 
     def stop(self, fault: str) -> None:
-        struct.pack_into("qq", self.memory, self._at(fault), 0, 0)
+        struct.pack_into("qq", self.control, self._offset(fault), 0, 0)
 
-    def given(self, fault: str) -> int:
+    def injected_count(self, fault: str) -> int:
         """How often the library has given it."""
-        return int(struct.unpack_from("q", self.memory, self._at(fault) + 2 * FIELD)[0])
+        return int(struct.unpack_from("q", self.control, self._offset(fault) + 2 * FIELD_SIZE)[0])
--- a/tests/shim/shim.c
+++ b/tests/shim/shim.c
@@ -20,52 +20,52 @@
 #include <unistd.h>
 
 struct fault {
-    int64_t error;   /* errno; 0: off */
-    int64_t percent; /* of the calls */
-    int64_t given;   /* so many times by now */
+    int64_t value;    /* errno; 0: off */
+    int64_t percent;  /* of the calls */
+    int64_t injected; /* so many times by now */
 };
 
 struct control {
     int64_t seed;
     struct fault accept, socket, connect, read, write;
-    struct fault short_read, short_write; /* `error`: bytes at most */
-    struct fault hold_up;                 /* `error`: milliseconds, before a write to a socket */
-    struct fault wall_clock;              /* `error`: seconds that the wall clock is ahead */
-    struct fault folder;                  /* opens for writing, writes and renames of regular files */
+    struct fault short_read, short_write; /* `value`: bytes at most */
+    struct fault delay_write;             /* `value`: milliseconds, before a write to a socket */
+    struct fault wall_clock;              /* `value`: seconds that the wall clock is ahead */
+    struct fault file_system;             /* opens for writing, writes and renames of regular files */
 };
 
 static struct control *control;
-static uint64_t state;
+static uint64_t random_state;
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void map_control_file(void) {
     const char *path = getenv("OPALGAUGE_SHIM");
-    int (*open_)(const char *, int, ...) = dlsym(RTLD_NEXT, "open");
+    int (*real_open)(const char *, int, ...) = dlsym(RTLD_NEXT, "open");
     if (path == NULL) return;
-    int fd = open_(path, O_RDWR | O_CLOEXEC);
+    int fd = real_open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) return;
-    void *at = mmap(NULL, sizeof(struct control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void *mapping = mmap(NULL, sizeof(struct control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     close(fd);
-    if (at == MAP_FAILED) return;
-    control = at;
-    state = (uint64_t)control->seed * 2654435761u + 88172645463325252u;
-}
-
-static int drawn(struct fault *fault) {
-    if (control == NULL || fault->error == 0) return 0;
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    if ((int64_t)(state % 100) >= fault->percent) return 0;
-    __atomic_add_fetch(&fault->given, 1, __ATOMIC_RELAXED);
+    if (mapping == MAP_FAILED) return;
+    control = mapping;
+    random_state = (uint64_t)control->seed * 2654435761u + 88172645463325252u;
+}
+
+static int should_inject(struct fault *fault) {
+    if (control == NULL || fault->value == 0) return 0;
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    if ((int64_t)(random_state % 100) >= fault->percent) return 0;
+    __atomic_add_fetch(&fault->injected, 1, __ATOMIC_RELAXED);
     return 1;
 }
 
-static int kind_of(int fd) {
-    struct stat found;
-    int kept = errno;
-    int kind = fstat(fd, &found) == 0 ? (int)(found.st_mode & S_IFMT) : 0;
-    errno = kept;
-    return kind;
+static int file_type(int fd) {
+    struct stat status;
+    int saved_errno = errno;
+    int type = fstat(fd, &status) == 0 ? (int)(status.st_mode & S_IFMT) : 0;
+    errno = saved_errno;
+    return type;
 }
 
 #define REAL(name) \
@@ -73,8 +73,8 @@
     if (real == NULL) real = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
 
 #define FAIL(field) \
-    if (control != NULL && drawn(&control->field)) { \
-        errno = (int)control->field.error; \
+    if (control != NULL && should_inject(&control->field)) { \
+        errno = (int)control->field.value; \
         return -1; \
     }
 
@@ -106,44 +106,45 @@
     return real(fd, address, length);
 }
 
-static size_t at_most(struct fault *fault, size_t count) {
-    return count > (size_t)fault->error && drawn(fault) ? (size_t)fault->error : count;
+static size_t limited_count(struct fault *fault, size_t count) {
+    return count > (size_t)fault->value && should_inject(fault) ? (size_t)fault->value : count;
 }
 
 ssize_t read(int fd, void *buffer, size_t count) {
     REAL(read);
-    if (control != NULL && (control->read.error || control->short_read.error) && kind_of(fd) == S_IFSOCK) {
+    if (control != NULL && (control->read.value || control->short_read.value) && file_type(fd) == S_IFSOCK) {
         FAIL(read)
-        if (control->short_read.error) count = at_most(&control->short_read, count);
+        if (control->short_read.value) count = limited_count(&control->short_read, count);
     }
     return real(fd, buffer, count);
 }
 
-static void hold(void) {
-    if (control != NULL && control->hold_up.error && drawn(&control->hold_up)) {
-        struct timespec span = {control->hold_up.error / 1000, control->hold_up.error % 1000 * 1000000};
-        int kept = errno;
-        nanosleep(&span, NULL);
-        errno = kept;
+static void delay_if_injected(void) {
+    if (control != NULL && control->delay_write.value && should_inject(&control->delay_write)) {
+        struct timespec delay = {control->delay_write.value / 1000, control->delay_write.value % 1000 * 1000000};
+        int saved_errno = errno;
+        nanosleep(&delay, NULL);
+        errno = saved_errno;
     }
 }
 
-static int faulty_writes(void) {
+static int write_faults_active(void) {
     return control != NULL
-        && (control->write.error || control->short_write.error || control->hold_up.error || control->folder.error);
+        && (control->write.value || control->short_write.value || control->delay_write.value
+            || control->file_system.value);
 }
 
 ssize_t write(int fd, const void *buffer, size_t count) {
     REAL(write);
-    if (faulty_writes()) {
-        int kind = kind_of(fd);
-        if (kind == S_IFREG) {
-            FAIL(folder)
+    if (write_faults_active()) {
+        int type = file_type(fd);
+        if (type == S_IFREG) {
+            FAIL(file_system)
         }
-        if (kind == S_IFSOCK) {
-            hold();
+        if (type == S_IFSOCK) {
+            delay_if_injected();
             FAIL(write)
-            if (control->short_write.error) count = at_most(&control->short_write, count);
+            if (control->short_write.value) count = limited_count(&control->short_write, count);
         }
     }
     return real(fd, buffer, count);
@@ -151,12 +152,12 @@
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     REAL(writev);
-    if (faulty_writes() && kind_of(fd) == S_IFSOCK) {
-        hold();
+    if (write_faults_active() && file_type(fd) == S_IFSOCK) {
+        delay_if_injected();
         FAIL(write)
-        if (control->short_write.error && count > 0 && parts[0].iov_len > 1 && drawn(&control->short_write)) {
+        if (control->short_write.value && count > 0 && parts[0].iov_len > 1 && should_inject(&control->short_write)) {
             struct iovec first = parts[0];
-            if (first.iov_len > (size_t)control->short_write.error) first.iov_len = (size_t)control->short_write.error;
+            if (first.iov_len > (size_t)control->short_write.value) first.iov_len = (size_t)control->short_write.value;
             return real(fd, &first, 1);
         }
     }
@@ -168,12 +169,12 @@
 #define OPEN(name) \
     int name(const char *path, int flags, ...) { \
         REAL(name); \
-        va_list more; \
-        va_start(more, flags); \
-        mode_t mode = va_arg(more, mode_t); \
-        va_end(more); \
+        va_list arguments; \
+        va_start(arguments, flags); \
+        mode_t mode = va_arg(arguments, mode_t); \
+        va_end(arguments); \
         if (opens_for_writing(flags) && strncmp(path, "/dev/", 5) != 0) { \
-            FAIL(folder) \
+            FAIL(file_system) \
         } \
         return real(path, flags, mode); \
     }
@@ -183,38 +184,38 @@
 
 int rename(const char *from, const char *to) {
     REAL(rename);
-    FAIL(folder)
+    FAIL(file_system)
     return real(from, to);
 }
 
 int fsync(int fd) {
     REAL(fsync);
-    FAIL(folder)
+    FAIL(file_system)
     return real(fd);
 }
 
-int clock_gettime(clockid_t clock, struct timespec *at) {
+int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime);
-    int done = real(clock, at);
-    if (done == 0 && control != NULL && clock == CLOCK_REALTIME && control->wall_clock.error) {
-        at->tv_sec += control->wall_clock.error;
-        __atomic_add_fetch(&control->wall_clock.given, 1, __ATOMIC_RELAXED);
+    int result = real(clock, now);
+    if (result == 0 && control != NULL && clock == CLOCK_REALTIME && control->wall_clock.value) {
+        now->tv_sec += control->wall_clock.value;
+        __atomic_add_fetch(&control->wall_clock.injected, 1, __ATOMIC_RELAXED);
     }
-    return done;
+    return result;
 }
 
-int gettimeofday(struct timeval *at, void *zone) {
+int gettimeofday(struct timeval *result, void *zone) {
     struct timespec now;
     (void)zone;
     clock_gettime(CLOCK_REALTIME, &now);
-    at->tv_sec = now.tv_sec;
-    at->tv_usec = now.tv_nsec / 1000;
+    result->tv_sec = now.tv_sec;
+    result->tv_usec = now.tv_nsec / 1000;
     return 0;
 }
 
-time_t time(time_t *at) {
+time_t time(time_t *result) {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
-    if (at != NULL) *at = now.tv_sec;
+    if (result != NULL) *result = now.tv_sec;
     return now.tv_sec;
 }
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -9,28 +9,29 @@
 import time
 from collections import Counter
 
-from tests.soak.run import Outcome, play_seed
+from tests.soak.run import Outcome, run_seed
 
-MOST_LINES = 3  # told of each rule that a seed breaks
+MAX_PRINTED_DETAILS = 3  # told of each rule that a seed breaks
 
 
-def tell(outcome: Outcome, command: str) -> None:
+def print_outcome(outcome: Outcome, command: str) -> None:
     """One line a seed, and the whole line of what is broken."""
-    ends = ", ".join(f"{name.lower()} {n}" for name, n in sorted(outcome.ends.items()))
-    codes = ", ".join(f"{code}: {n}" for code, n in sorted(outcome.statuses.items()))
-    rules = Counter(broken.rule for broken in outcome.broken)
-    said = ", ".join(f"{rule} {n}" for rule, n in rules.items()) or "nothing broken"
+    ends = ", ".join(f"{end_name.lower()} {count}" for end_name, count in sorted(outcome.ends.items()))
+    statuses = ", ".join(f"{code}: {count}" for code, count in sorted(outcome.statuses.items()))
+    rules = Counter(violation.rule for violation in outcome.violations)
+    summary = ", ".join(f"{rule} {count}" for rule, count in rules.items()) or "nothing broken"
     print(
-        f"seed {outcome.seed}: {outcome.requests} requests ({ends}; {codes}), {outcome.processes} processes, "
-        f"{outcome.faults} system call faults, lag {outcome.lag * 1000:.0f} ms: {said}",
+        f"seed {outcome.seed}: {outcome.requests} requests ({ends}; {statuses}), "
+        f"{outcome.processes} processes, {outcome.injected_faults} system call faults, "
+        f"lag {outcome.lag * 1000:.0f} ms: {summary}",
         flush=True,
     )
-    told = Counter[str]()
-    for broken in outcome.broken:
-        told[broken.rule] += 1
-        if told[broken.rule] <= MOST_LINES:
-            print(f"  {broken.rule}: {broken.line}", flush=True)
-    if outcome.broken:
+    printed = Counter[str]()
+    for violation in outcome.violations:
+        printed[violation.rule] += 1
+        if printed[violation.rule] <= MAX_PRINTED_DETAILS:
+            print(f"  {violation.rule}: {violation.details}", flush=True)
+    if outcome.violations:
         print(f"  again: {command} --seed {outcome.seed}", flush=True)
 
 
@@ -41,24 +42,29 @@
     parser.add_argument("--jobs", type=int, default=3, help="runs at once")
     parser.add_argument("--crowd", action="store_true", help="idle clients hold all descriptors, always")
     parser.add_argument("--shim", action="store_true", help="system calls fail, always")
-    told = parser.parse_args()
-    words = ["python -m tests.soak", *(f"--{w}" for w in ("crowd", "shim") if getattr(told, w))]
-    began, outcomes = time.monotonic(), list[Outcome]()
+    arguments = parser.parse_args()
+    command_words = [
+        "python -m tests.soak",
+        *(f"--{flag}" for flag in ("crowd", "shim") if getattr(arguments, flag)),
+    ]
+    start, outcomes = time.monotonic(), list[Outcome]()
     context = multiprocessing.get_context("spawn")
-    with concurrent.futures.ProcessPoolExecutor(told.jobs, context) as pool:
-        seeds = range(told.seed, told.seed + told.seeds)
-        waiting = [pool.submit(play_seed, seed, told.crowd or None, told.shim or None) for seed in seeds]
-        for future in concurrent.futures.as_completed(waiting):
+    with concurrent.futures.ProcessPoolExecutor(arguments.jobs, context) as pool:
+        seeds = range(arguments.seed, arguments.seed + arguments.seeds)
+        futures = [
+            pool.submit(run_seed, seed, arguments.crowd or None, arguments.shim or None) for seed in seeds
+        ]
+        for future in concurrent.futures.as_completed(futures):
             outcomes.append(future.result())
-            tell(outcomes[-1], " ".join(words))
-    rules = Counter(broken.rule for outcome in outcomes for broken in outcome.broken)
+            print_outcome(outcomes[-1], " ".join(command_words))
+    rules = Counter(violation.rule for outcome in outcomes for violation in outcome.violations)
     print(
-        f"{len(outcomes)} seeds, {sum(o.requests for o in outcomes)} requests, "
-        f"{sum(o.processes for o in outcomes)} processes, {time.monotonic() - began:.0f} s; "
-        f"lost at the kill {sum(o.lost_at_kill for o in outcomes)}; "
+        f"{len(outcomes)} seeds, {sum(outcome.requests for outcome in outcomes)} requests, "
+        f"{sum(outcome.processes for outcome in outcomes)} processes, {time.monotonic() - start:.0f} s; "
+        f"lost at the kill {sum(outcome.lost_at_kill for outcome in outcomes)}; "
         f"broken: {dict(rules) or 'nothing'}"
     )
-    failed = sum(bool(o.broken) for o in outcomes)
+    failed = sum(bool(outcome.violations) for outcome in outcomes)
     print(f"soak: {len(outcomes) - failed} passed, {failed} failed")
     return 1 if failed else 0
 
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -10,19 +10,19 @@
 import socket
 from collections.abc import Callable
 
-from tests.soak.checker import LATE
-from tests.soak.deployment import UNITS_TOP, Deployment, RequestClass
+from tests.soak.checker import ANSWER_GRACE
+from tests.soak.deployment import MAX_UNITS, Deployment, RequestClass
 from tests.soak.records import Effect, End, RequestRecord
 
-LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
-LEAVES = 0.06  # of the requests: the client leaves before its answer
-SLOW_WRITER = 0.03  # of the requests: written in two parts
+CONTENT_LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
+LEAVING_SHARE = 0.06  # of the requests: the client leaves before its answer
+SLOW_WRITE_SHARE = 0.03  # of the requests: written in two parts
 ACCOUNTS = 40
-SPARE = 1.0  # s beyond the time after which an answer is lost: it may still tell that it came late
-LONG_BODIES = 0.02  # of the bodies
-MOST_LONG = 300_000  # bytes
-MOST_HELD = 64 * 1024  # bytes: a longer answer is passed on while it comes
-REST = 0.05  # s between the parts of a request that is written slowly
+EXTRA_WAIT = 1.0  # s beyond the time after which an answer is lost: it may still tell that it came late
+LONG_BODY_SHARE = 0.02  # of the bodies
+MAX_BODY_BYTES = 300_000  # bytes
+MAX_HELD_ANSWER_BYTES = 64 * 1024  # bytes: a longer answer is passed on while it comes
+SLOW_WRITE_PAUSE = 0.05  # s between the parts of a request that is written slowly
 
 
 class Connection:
@@ -32,7 +32,7 @@
         self.reader, self.writer, self.used = reader, writer, False
 
     @property
-    def over(self) -> bool:
+    def closed(self) -> bool:
         return self.reader.at_eof() or self.writer.is_closing()
 
     def close(self) -> None:
@@ -54,111 +54,124 @@
         self.records, self.now = records, now
         self.rng = random.Random(deployment.seed * 1009 + instance)
         self.idle: list[Connection] = []
-        self.crowd: list[socket.socket] = []
-        self.numbers = itertools.count()
+        self.idle_sockets: list[socket.socket] = []
+        self.request_numbers = itertools.count()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.dealt = True  # new connections are dealt to this instance
+        self.receives_connections = True  # new connections are dealt to this instance
 
-    async def run(self, until: float) -> None:
+    async def run(self, end_time: float) -> None:
         """Asks at the drawn rate, whatever has come of what was asked before."""
-        share = self.deployment.rate / self.deployment.instances
-        while self.now() < until:
-            await asyncio.sleep(self.rng.expovariate(share))
-            connection = self._idle_one()
-            if connection is None and not self.dealt:
+        rate = self.deployment.rate / self.deployment.instances
+        while self.now() < end_time:
+            await asyncio.sleep(self.rng.expovariate(rate))
+            connection = self._take_idle_connection()
+            if connection is None and not self.receives_connections:
                 continue
-            task = asyncio.create_task(self._ask(connection, ""))
+            task = asyncio.create_task(self._send_request(connection, ""))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    def _idle_one(self) -> Connection | None:
+    def _take_idle_connection(self) -> Connection | None:
         while self.idle:
             connection = self.idle.pop(self.rng.randrange(len(self.idle)))
-            if not connection.over:
+            if not connection.closed:
                 return connection
             connection.close()
         return None
 
-    async def gather_crowd(self, many: int) -> None:
+    async def open_idle_connections(self, count: int) -> None:
         """Connections that ask nothing and stay."""
-        for _ in range(many):
-            made = socket.socket()
-            made.setblocking(False)
+        for _ in range(count):
+            idle_socket = socket.socket()
+            idle_socket.setblocking(False)
             with contextlib.suppress(OSError):
-                await asyncio.get_running_loop().sock_connect(made, self.address)
-            self.crowd.append(made)
-
-    def _bytes(self, name: str, kind: RequestClass) -> bytes:
-        method = "GET" if kind.effect.value == "retryable" else "POST"
-        most = MOST_LONG if self.rng.random() < LONG_BODIES else 2000
-        body = b"" if method == "GET" else b"x" * self.rng.randint(0, most)
-        key = f"Idempotency-Key: {name}\r\n" if kind.effect is Effect.KEYED else ""
+                await asyncio.get_running_loop().sock_connect(idle_socket, self.address)
+            self.idle_sockets.append(idle_socket)
+
+    def _request_bytes(self, name: str, request_class: RequestClass) -> bytes:
+        method = "GET" if request_class.effect.value == "retryable" else "POST"
+        max_body_bytes = MAX_BODY_BYTES if self.rng.random() < LONG_BODY_SHARE else 2000
+        body = b"" if method == "GET" else b"x" * self.rng.randint(0, max_body_bytes)
+        key = f"Idempotency-Key: {name}\r\n" if request_class.effect is Effect.KEYED else ""
         instances = self.deployment.instances
         head = (
-            f"{method} /{kind.name} HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: {name}\r\nX-Tier: basic\r\n"
-            f"Cookie: customer={self.rng.randrange(ACCOUNTS):016x}\r\nX-Time-Left: {kind.deadline:.3f}\r\n"
-            f"X-Call-Terms: units={self.rng.randint(1, UNITS_TOP)},spread={instances},first=0\r\n"
+            f"{method} /{request_class.name} HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: {name}\r\n"
+            f"X-Tier: basic\r\nCookie: customer={self.rng.randrange(ACCOUNTS):016x}\r\n"
+            f"X-Time-Left: {request_class.deadline:.3f}\r\n"
+            f"X-Call-Terms: units={self.rng.randint(1, MAX_UNITS)},spread={instances},first=0\r\n"
             f"{key}Content-Length: {len(body)}\r\n\r\n"
         )
         return head.encode() + body
 
-    async def _ask(self, connection: Connection | None, repeats: str) -> None:
-        kind = self.rng.choice(self.deployment.classes)
+    async def _send_request(self, connection: Connection | None, repeats: str) -> None:
+        request_class = self.rng.choice(self.deployment.classes)
         if connection is None:
             try:
                 connection = Connection(*await asyncio.open_connection(*self.address))
             except OSError:
                 return  # refused: the front learns of it
-        name = f"{self.deployment.seed}-{self.instance}-{next(self.numbers)}"
-        data = self._bytes(name, kind)
-        kept = connection.used
-        if self.rng.random() < SLOW_WRITER:
-            connection.writer.write(data[:40])
-            await asyncio.sleep(REST)
-            data = data[40:]
-            if connection.over:
+        name = f"{self.deployment.seed}-{self.instance}-{next(self.request_numbers)}"
+        remaining = self._request_bytes(name, request_class)
+        reused = connection.used
+        if self.rng.random() < SLOW_WRITE_SHARE:
+            connection.writer.write(remaining[:40])
+            await asyncio.sleep(SLOW_WRITE_PAUSE)
+            remaining = remaining[40:]
+            if connection.closed:
                 connection.close()
                 return  # its last byte was never written
-        connection.writer.write(data)
+        connection.writer.write(remaining)
         request = RequestRecord(
-            name, kind.effect, self.instance, self.now(), kind.deadline, kept, repeats=repeats
+            name,
+            request_class.effect,
+            self.instance,
+            self.now(),
+            request_class.deadline,
+            reused,
+            repeats=repeats,
         )
         self.records.append(request)
-        if self.rng.random() < LEAVES:
-            await asyncio.sleep(self.rng.random() * kind.deadline / 2)
-            if await self._answered(connection, request, 0.0):
+        if self.rng.random() < LEAVING_SHARE:
+            await asyncio.sleep(self.rng.random() * request_class.deadline / 2)
+            if await self._receive_answer(connection, request, 0.0):
                 return
             request.end, request.ended = End.LEFT, self.now()
             connection.writer.transport.abort()
             return
-        whole = await self._answered(connection, request, kind.deadline + LATE + SPARE)
-        if not whole and request.end is End.UNHEARD and self.dealt and not repeats:
-            await self._ask(None, name)
+        whole = await self._receive_answer(
+            connection, request, request_class.deadline + ANSWER_GRACE + EXTRA_WAIT
+        )
+        if not whole and request.end is End.UNHEARD and self.receives_connections and not repeats:
+            await self._send_request(None, name)
 
-    async def _answered(self, connection: Connection, request: RequestRecord, within: float) -> bool:
+    async def _receive_answer(self, connection: Connection, request: RequestRecord, timeout: float) -> bool:
         """Waits for the answer; writes down how the exchange ended, unless its time is simply up."""
-        heard = b""
+        received = b""
         try:
-            async with asyncio.timeout(within):
-                heard = await connection.reader.readuntil(b"\r\n\r\n")
-                found = LENGTH.search(heard)
-                await connection.reader.readexactly(int(found[1]) if found else 0)
+            async with asyncio.timeout(timeout):
+                received = await connection.reader.readuntil(b"\r\n\r\n")
+                content_length = CONTENT_LENGTH.search(received)
+                await connection.reader.readexactly(int(content_length[1]) if content_length else 0)
         except TimeoutError:
-            if within:
+            if timeout:
                 request.end, request.ended = End.LOST, self.now()
                 connection.close()
             return False
-        except (asyncio.IncompleteReadError, OSError) as bad:
-            heard = heard or getattr(bad, "partial", b"")
-            unheard = not heard and (request.kept or self.deployment.crowd)
-            request.end, request.ended = End.UNHEARD if unheard else End.LOST, self.now()
-            if (found := LENGTH.search(heard)) and int(found[1]) > MOST_HELD and b"\r\n\r\n" in heard:
+        except (asyncio.IncompleteReadError, OSError) as error:
+            received = received or getattr(error, "partial", b"")
+            unread = not received and (request.kept or self.deployment.idle_crowd)
+            request.end, request.ended = End.UNHEARD if unread else End.LOST, self.now()
+            if (
+                (content_length := CONTENT_LENGTH.search(received))
+                and int(content_length[1]) > MAX_HELD_ANSWER_BYTES
+                and b"\r\n\r\n" in received
+            ):
                 request.end = End.CUT
             connection.close()
             return False
-        request.end, request.ended, request.status = End.ANSWERED, self.now(), int(heard[9:12])
+        request.end, request.ended, request.status = End.ANSWERED, self.now(), int(received[9:12])
         connection.used = True
-        if b"connection: close" in heard.lower():
+        if b"connection: close" in received.lower():
             connection.close()
         else:
             self.idle.append(connection)
@@ -170,5 +183,5 @@
             await asyncio.wait(set(self.tasks))
         for connection in self.idle:
             connection.close()
-        for made in self.crowd:
-            made.close()
+        for idle_socket in self.idle_sockets:
+            idle_socket.close()
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -10,8 +10,8 @@
 
 ZONES = ("east", "west")
 MANY_SERVERS = 100
-LENGTH = 12.0  # s of traffic
-UNITS_TOP = 3
+TRAFFIC_SECONDS = 12.0  # s of traffic
+MAX_UNITS = 3
 
 
 @dataclass(frozen=True)
@@ -20,13 +20,14 @@
     effect: Effect
     aim: float
     deadline: float
-    window: float = 0.0  # s for which servers know a key
-    by_zone: bool = False  # only those of one zone know each other's keys
+    dedup_window: float = 0.0  # s for which servers know a key
+    dedup_per_zone: bool = False  # only those of one zone know each other's keys
 
     def settings(self) -> dict[str, Any]:
         return {
             "name": self.name, "aim": self.aim, "deadline": self.deadline, "credit": 2.0,
-            "effect": self.effect.value, "window": self.window, "group": "zone" if self.by_zone else "all",
+            "effect": self.effect.value, "window": self.dedup_window,
+            "group": "zone" if self.dedup_per_zone else "all",
         }  # fmt: skip
 
 
@@ -41,48 +42,53 @@
     capacity: float  # requests a second of a warm server
     rate: float  # requests a second of all clients together
     limits: Limits
-    crowd: bool  # idle clients hold all the descriptors that they can
-    shim: bool  # system calls fail now and then
-    upgrades: bool  # a new process stands beside the old one at each restart
+    idle_crowd: bool  # idle clients hold all the descriptors that they can
+    system_call_faults: bool  # system calls fail now and then
+    rolling_upgrades: bool  # a new process stands beside the old one at each restart
 
-    def settings(self, me: int) -> dict[str, Any]:
+    def settings(self, instance: int) -> dict[str, Any]:
         limits = self.limits
         return {
-            "balancers": self.instances, "me": me, "tick": 0.002, "zone": 0, "zones": list(ZONES),
-            "classes": [one.settings() for one in self.classes],
+            "balancers": self.instances, "me": instance, "tick": 0.002, "zone": 0, "zones": list(ZONES),
+            "classes": [request_class.settings() for request_class in self.classes],
             "tiers_of_service": [
                 {"name": "basic", "quota_rate": 10_000.0, "most_at_once": 50_000.0, "pays": 1.0}
             ],
-            "domain": {"shared_counter": True, "counter_timeout": 0.08, "units_top": UNITS_TOP},
+            "domain": {"shared_counter": True, "counter_timeout": 0.08, "units_top": MAX_UNITS},
             "ceilings": {"try_limit": 3, "cancelling": True, "conn_idle": 10.0, "dial_timeout": 0.25,
                          "probes": False},
-            "invariants": {"cold": limits.cold, "cold_from": limits.cold_from, "fall": limits.fall,
-                           "fall_multiple": limits.fall_multiple},
+            "invariants": {"cold": limits.slow_start_duration, "cold_from": limits.slow_start_share,
+                           "fall": limits.collapse_time, "fall_multiple": limits.collapse_ratio},
             "load_info": {"fields": []},
             "discovery": "pushed",
         }  # fmt: skip
 
 
-def draw(seed: int, crowd: bool | None = None, shim: bool | None = None) -> Deployment:
+def draw_deployment(
+    seed: int, idle_crowd: bool | None = None, system_call_faults: bool | None = None
+) -> Deployment:
     rng = random.Random(seed)
-    longest = rng.choice([0.4, 1.0, 2.0, 3.0, 5.0])
+    longest_deadline = rng.choice([0.4, 1.0, 2.0, 3.0, 5.0])
     classes = []
-    for n in range(rng.randint(2, 5)):
-        deadline = longest if n == 0 else rng.uniform(0.4, 1.0) * longest
-        effect = Effect.UNSAFE if n == 0 else rng.choice(list(Effect))
-        aim, window = deadline / rng.uniform(2.5, 5.0), rng.choice([0.3, 1.0, 8.0])
-        classes.append(RequestClass(f"class-{n}", effect, aim, deadline, window, rng.random() < 0.5))
+    for number in range(rng.randint(2, 5)):
+        deadline = longest_deadline if number == 0 else rng.uniform(0.4, 1.0) * longest_deadline
+        effect = Effect.UNSAFE if number == 0 else rng.choice(list(Effect))
+        aim, dedup_window = deadline / rng.uniform(2.5, 5.0), rng.choice([0.3, 1.0, 8.0])
+        classes.append(
+            RequestClass(f"class-{number}", effect, aim, deadline, dedup_window, rng.random() < 0.5)
+        )
     servers = MANY_SERVERS if rng.random() < 0.1 else rng.randint(4, 10)
     capacity = rng.uniform(15.0, 30.0)
     instances = rng.randint(1, 4)
     rate = min(120.0, 0.4 * capacity * servers)
     limits = Limits(
-        longest_deadline=longest, cold=16.0, cold_from=0.2, fall=1.5, fall_multiple=2.5, stop_sending=2.0,
-        descriptors=512, memory_mb=128.0,
+        longest_deadline=longest_deadline, slow_start_duration=16.0, slow_start_share=0.2,
+        collapse_time=1.5, collapse_ratio=2.5, stop_sending_time=2.0, descriptors=512, memory_mb=128.0,
     )  # fmt: skip
-    drawn_crowd, drawn_shim = rng.random() < 0.4, rng.random() < 0.4
+    drawn_crowd, drawn_faults = rng.random() < 0.4, rng.random() < 0.4
     return Deployment(
         seed, tuple(classes), instances, servers, capacity, rate, limits,
-        drawn_crowd if crowd is None else crowd, drawn_shim if shim is None else shim,
-        upgrades=rng.random() < 0.6,
+        drawn_crowd if idle_crowd is None else idle_crowd,
+        drawn_faults if system_call_faults is None else system_call_faults,
+        rolling_upgrades=rng.random() < 0.6,
     )  # fmt: skip
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -13,15 +13,15 @@
 from pathlib import Path
 from typing import Any
 
-from tests.soak.checker import kill_after
+from tests.soak.checker import kill_delay
 from tests.soak.deployment import Deployment
 from tests.soak.records import ProcessRecord
 from tests.soak.standins import Discovery
 
 ROOT = Path(__file__).parent.parent.parent
-LOOK = 0.25  # s between looks at what a process holds
-READY_LIMIT = 15.0  # s
-STOPPED = 0.12  # s that a process is held up by SIGSTOP
+SAMPLE_INTERVAL = 0.25  # s between looks at what a process holds
+READY_TIMEOUT = 15.0  # s
+SUSPEND_DURATION = 0.12  # s that a process is held up by SIGSTOP
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
@@ -33,14 +33,14 @@
     ) -> None:
         self.record, self.handle, self.now = record, handle, now
         self.ready = asyncio.Event()
-        self.lines: list[str] = []
-        self.tasks = [asyncio.create_task(self._read()), asyncio.create_task(self._watch())]
+        self.log_lines: list[str] = []
+        self.tasks = [asyncio.create_task(self._read_log()), asyncio.create_task(self._sample_resources())]
 
-    async def _read(self) -> None:
+    async def _read_log(self) -> None:
         assert self.handle.stderr is not None
         while line := await self.handle.stderr.readline():
             text = line.decode(errors="replace").rstrip()
-            self.lines.append(text)
+            self.log_lines.append(text)
             if "ready:" in text:
                 self.record.ready = self.now()
                 self.ready.set()
@@ -49,7 +49,7 @@
         self.record.ended = self.now()
         self.ready.set()
 
-    async def _watch(self) -> None:
+    async def _sample_resources(self) -> None:
         """What it holds, now and then."""
         folder = Path(f"/proc/{self.handle.pid}")
         while self.handle.returncode is None:
@@ -57,33 +57,33 @@
                 self.record.descriptors = max(self.record.descriptors, len(list((folder / "fd").iterdir())))
                 pages = int((folder / "statm").read_text().split()[1])
                 self.record.memory_mb = max(self.record.memory_mb, pages * PAGE_MB)
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(SAMPLE_INTERVAL)
 
-    def send(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         if self.handle.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.handle.send_signal(number)
 
-    async def stop(self, longest: float) -> None:
+    async def stop(self, longest_deadline: float) -> None:
         """SIGTERM, and SIGKILL at the earliest that the platform allows."""
         self.record.asked = self.now()
-        self.send(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.handle.wait(), kill_after(longest))
+            await asyncio.wait_for(self.handle.wait(), kill_delay(longest_deadline))
         await self.kill()
 
     async def kill(self) -> None:
         if self.handle.returncode is None:
             self.record.killed = self.now()
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
         await self.handle.wait()
         await self.tasks[0]
         self.tasks[1].cancel()
 
-    async def hold_up(self) -> None:
-        self.send(signal.SIGSTOP)
-        await asyncio.sleep(STOPPED)
-        self.send(signal.SIGCONT)
+    async def suspend(self) -> None:
+        self.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(SUSPEND_DURATION)
+        self.send_signal(signal.SIGCONT)
 
 
 class Instance:
@@ -105,7 +105,7 @@
         reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         reserved.bind(("127.0.0.1", 0))
         self.address: tuple[str, int] = reserved.getsockname()
-        if deployment.upgrades:
+        if deployment.rolling_upgrades:
             reserved.listen(512)
             self.listener = reserved
         else:
@@ -113,7 +113,7 @@
         self.config: dict[str, Any] = {}
         self.agent: Discovery | None = None
         self.current: Process | None = None
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
 
     def configure(self, agent: Discovery, counter: str) -> None:
         limits, self.agent = self.deployment.limits, agent
@@ -127,15 +127,15 @@
 
     async def start(self) -> Process:
         """A process that is ready, or has had its time to be."""
-        process = await self._begin_a_process()
+        process = await self._spawn()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(process.ready.wait(), READY_LIMIT)
+            await asyncio.wait_for(process.ready.wait(), READY_TIMEOUT)
         return process
 
-    async def _begin_a_process(self) -> Process:
+    async def _spawn(self) -> Process:
         assert self.agent is not None
-        told = {**self.config, "known": self.agent.known()}
-        (self.folder / "config.json").write_text(json.dumps(told))
+        config = {**self.config, "known": self.agent.server_list()}
+        (self.folder / "config.json").write_text(json.dumps(config))
         environ = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
         environ |= {
             "BALANCER_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder), **self.environ,
@@ -152,7 +152,7 @@
         )  # fmt: skip
         return Process(record, handle, self.now)
 
-    async def begin(self) -> None:
+    async def start_first(self) -> None:
         self.current = await self.start()
 
     async def upgrade(self) -> None:
@@ -161,45 +161,45 @@
         self.current = new
         if old is not None:
             await old.stop(self.deployment.limits.longest_deadline)
-            self.lines += old.lines
+            self.log_lines += old.log_lines
 
-    async def failed_upgrade(self, after: float) -> None:
+    async def failed_upgrade(self, delay: float) -> None:
         """A new process that is killed while it starts; the old one serves on and is told nothing.
 
         One that has come to be ready by then may hold requests, and is told to stop like any other.
         """
-        new = await self._begin_a_process()
+        new = await self._spawn()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(new.ready.wait(), after)
+            await asyncio.wait_for(new.ready.wait(), delay)
         if new.ready.is_set():
             await new.stop(self.deployment.limits.longest_deadline)
         else:
             await new.kill()
 
-    async def abandoned_upgrade(self, after: float, all_stopping: Callable[[], None]) -> None:
+    async def abandoned_upgrade(self, delay: float, on_all_stopping: Callable[[], None]) -> None:
         """The new process is told to stop as well, soon after the old one; a third takes their place."""
         old, new = self.current, await self.start()
-        longest = self.deployment.limits.longest_deadline
-        stopping = [asyncio.create_task(old.stop(longest))] if old is not None else []
-        await asyncio.sleep(after)
-        stopping.append(asyncio.create_task(new.stop(longest)))
-        all_stopping()
+        longest_deadline = self.deployment.limits.longest_deadline
+        stopping = [asyncio.create_task(old.stop(longest_deadline))] if old is not None else []
+        await asyncio.sleep(delay)
+        stopping.append(asyncio.create_task(new.stop(longest_deadline)))
+        on_all_stopping()
         self.current = await self.start()
         await asyncio.gather(*stopping)
         for process in (old, new):
-            self.lines += process.lines if process is not None else []
+            self.log_lines += process.log_lines if process is not None else []
 
     async def restart(self) -> None:
         """The process is stopped, and started again when it has ended."""
         old = self.current
         if old is not None:
             await old.stop(self.deployment.limits.longest_deadline)
-            self.lines += old.lines
+            self.log_lines += old.log_lines
         self.current = await self.start()
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         if self.current is not None:
             await self.current.stop(self.deployment.limits.longest_deadline)
-            self.lines += self.current.lines
+            self.log_lines += self.current.log_lines
         if self.listener is not None:
             self.listener.close()
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -66,7 +66,9 @@
     server: int
     capacity: float  # requests a second when warm
     started: float  # -inf: long before the run
-    told: dict[int, float] = field(default_factory=dict)  # by instance: when it was told to stop sending
+    drain_told: dict[int, float] = field(
+        default_factory=dict
+    )  # by instance: when it was told to stop sending
 
 
 @dataclass
@@ -90,14 +92,14 @@
     """The deployment's figures that the rules depend on."""
 
     longest_deadline: float
-    cold: float  # s of slow start
-    cold_from: float  # share of the capacity at its beginning
-    fall: float  # s
-    fall_multiple: float
-    stop_sending: float  # s after a server was told to drain
+    slow_start_duration: float  # s of slow start
+    slow_start_share: float  # share of the capacity at its beginning
+    collapse_time: float  # s
+    collapse_ratio: float
+    stop_sending_time: float  # s after a server was told to drain
     descriptors: int
     memory_mb: float
-    ready: float = 10.0  # s from a start until it serves
+    max_start_time: float = 10.0  # s from a start until it serves
 
 
 @dataclass
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -23,7 +23,7 @@
     return harness.OK
 
 
-def window_names(counter: harness.Seen) -> set[bytes]:
+def window_names(counter: harness.Received) -> set[bytes]:
     """The names of the windows that were charged."""
     return {request.split(b" ")[1].partition(b"?")[0] for request in counter.requests if b"by=2" in request}
 
@@ -37,27 +37,27 @@
             listener.listen(64)
             shim = Shim(scratch)
             async with (
-                harness.party(ok) as (server_address, _),
-                harness.party(harness.counter()) as (counter_address, counter),
-                harness.party(harness.silent) as (list_address, _),
-                harness.ingress(
+                harness.stand_in(ok) as (server_address, _),
+                harness.stand_in(harness.counter()) as (counter_address, counter),
+                harness.stand_in(harness.no_response) as (list_address, _),
+                harness.ready_ingress(
                     server_address, counter_address, list_address, listener, scratch, environ=shim.environ
                 ) as old,
             ):
-                assert b" 200 " in await old.ask("GET", "/stock-check")
-                shim.give("wall_clock", step)
-                async with harness.ingress(
+                assert b" 200 " in await old.send_request("GET", "/stock-check")
+                shim.inject("wall_clock", step)
+                async with harness.ready_ingress(
                     server_address, counter_address, list_address, listener, scratch, environ=shim.environ
                 ) as new:
-                    assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
+                    assert (await old.call_console(b"maint-on s-1\n")).startswith(b"200")
                     old.process.send_signal(signal.SIGTERM)
                     assert await asyncio.wait_for(old.process.wait(), 20) == 0
                     async with asyncio.timeout(20):
-                        while b"skipped_backends=1" not in await new.call(b"stats\n"):
+                        while b"skipped_backends=1" not in await new.call_console(b"stats\n"):
                             await asyncio.sleep(0.02)
-                    assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
-                    assert b" 200 " in await new.ask("GET", "/stock-check")
-                assert shim.given("wall_clock") > 0
+                    assert (await new.call_console(b"maint-off s-1\n")).startswith(b"200")
+                    assert b" 200 " in await new.send_request("GET", "/stock-check")
+                assert shim.injected_count("wall_clock") > 0
                 assert 1 <= len(window_names(counter)) <= 3, "an hour lies between the windows of the two"
 
     asyncio.run(asyncio.wait_for(scenario(), 60))
@@ -67,17 +67,21 @@
     async def scenario() -> None:
         shim = Shim(str(tmp_path))
         async with (
-            harness.party(harness.silent) as (server_address, _),
-            harness.party(harness.counter()) as (counter_address, _),
-            harness.party(harness.silent) as (list_address, _),
-            harness.ingress(server_address, counter_address, list_address, environ=shim.environ) as ingress,
+            harness.stand_in(harness.no_response) as (server_address, _),
+            harness.stand_in(harness.counter()) as (counter_address, _),
+            harness.stand_in(harness.no_response) as (list_address, _),
+            harness.ready_ingress(
+                server_address, counter_address, list_address, environ=shim.environ
+            ) as ingress,
         ):
             loop = asyncio.get_running_loop()
             for step in (HOUR, -HOUR):
-                shim.give("wall_clock", step)
+                shim.inject("wall_clock", step)
                 began = loop.time()
-                answer = await ingress.raw(
-                    harness.request("POST", "/place-order", b"x", left="0.5", name=f"step{step}")
+                answer = await ingress.exchange(
+                    harness.request(
+                        "POST", "/place-order", b"x", time_left="0.5", correlation_id=f"step{step}"
+                    )
                 )
                 assert answer.startswith((b"HTTP/1.1 504", b"HTTP/1.1 502"))
                 assert 0.3 < loop.time() - began < 0.6
@@ -97,23 +101,23 @@
             with tempfile.TemporaryDirectory() as apart:
                 shim = Shim(apart)
                 async with (
-                    harness.party(ok) as (server_address, _),
-                    harness.party(harness.counter()) as (counter_address, _),
-                    harness.party(harness.silent) as (list_address, _),
-                    harness.ingress(
+                    harness.stand_in(ok) as (server_address, _),
+                    harness.stand_in(harness.counter()) as (counter_address, _),
+                    harness.stand_in(harness.no_response) as (list_address, _),
+                    harness.ready_ingress(
                         server_address, counter_address, list_address, listener, scratch, environ=shim.environ
                     ) as old,
                 ):
-                    shim.give("folder", errno.ENOSPC)
-                    assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
-                    assert shim.given("folder") > 0
+                    shim.inject("file_system", errno.ENOSPC)
+                    assert (await old.call_console(b"maint-on s-1\n")).startswith(b"200")
+                    assert shim.injected_count("file_system") > 0
                     kept = Path(scratch) / NAME
                     assert not kept.exists()
-                    async with harness.ingress(
+                    async with harness.ready_ingress(
                         server_address, counter_address, list_address, listener, scratch, environ=shim.environ
                     ) as new:
-                        assert b"skipped_backends=1" in await new.call(b"stats\n")
-                        shim.stop("folder")
+                        assert b"skipped_backends=1" in await new.call_console(b"stats\n")
+                        shim.stop("file_system")
                         async with asyncio.timeout(20):
                             while not kept.exists():
                                 await asyncio.sleep(0.02)
@@ -129,13 +133,15 @@
             (Path(scratch) / NAME).write_bytes(b"opalgauge-marks-1 400 ab")
             (Path(scratch) / NEW).write_bytes(b"opalgau")
             async with (
-                harness.party(ok) as (server_address, _),
-                harness.party(harness.counter()) as (counter_address, _),
-                harness.party(harness.silent) as (list_address, _),
-                harness.ingress(server_address, counter_address, list_address, scratch=scratch) as ingress,
+                harness.stand_in(ok) as (server_address, _),
+                harness.stand_in(harness.counter()) as (counter_address, _),
+                harness.stand_in(harness.no_response) as (list_address, _),
+                harness.ready_ingress(
+                    server_address, counter_address, list_address, temp_folder=scratch
+                ) as ingress,
             ):
-                assert b" 200 " in await ingress.ask("GET", "/stock-check")
-                assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")
+                assert b" 200 " in await ingress.send_request("GET", "/stock-check")
+                assert (await ingress.call_console(b"maint-on s-1\n")).startswith(b"200")
                 told = bans.read((Path(scratch) / NAME).read_bytes())
                 assert told is not None and told[0][:2] == ("s-1", True)
 
@@ -145,18 +151,18 @@
 def test_a_closed_log_pipe_does_not_stop_service(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with (
-            harness.party(ok) as (server_address, _),
-            harness.party(harness.counter()) as (counter_address, _),
-            harness.party(harness.silent) as (list_address, _),
-            harness.ingress(server_address, counter_address, list_address) as ingress,
+            harness.stand_in(ok) as (server_address, _),
+            harness.stand_in(harness.counter()) as (counter_address, _),
+            harness.stand_in(harness.no_response) as (list_address, _),
+            harness.ready_ingress(server_address, counter_address, list_address) as ingress,
         ):
             # The reading end of its standard error is closed: each line written there fails from now on.
             transport = ingress.process._transport.get_pipe_transport(2)  # type: ignore[attr-defined]
             transport.close()
             await asyncio.sleep(0)
-            assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200")  # writes a line
-            assert (await ingress.call(b"maint-off s-1\n")).startswith(b"200")
-            assert b" 200 " in await ingress.ask("GET", "/stock-check")
+            assert (await ingress.call_console(b"maint-on s-1\n")).startswith(b"200")  # writes a line
+            assert (await ingress.call_console(b"maint-off s-1\n")).startswith(b"200")
+            assert b" 200 " in await ingress.send_request("GET", "/stock-check")
             ingress.process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(ingress.process.wait(), 20) == 0
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -196,25 +196,25 @@
 def test_the_door_on_the_program() -> None:
     async def scene() -> None:
         async with harness_with(lambda r, w: harness.OK) as (ingress, _, __):
-            silent = [await asyncio.open_connection(*ingress.door) for _ in range(20)]
+            silent = [await asyncio.open_connection(*ingress.console_address) for _ in range(20)]
             silent[0][1].write(b"sta")
-            endless = await asyncio.open_connection(*ingress.door)
+            endless = await asyncio.open_connection(*ingress.console_address)
             endless[1].write(b"x" * 100_000)
             assert (await endless[0].read()).startswith(b"400 ")
-            assert (await ingress.call(b"status\n")).startswith(b"200 ")
-            assert (await ingress.call(b"status\r\n")).startswith(b"200 ")
-            assert (await ingress.call(b"\xff\xfe\n")).startswith(b"400 ")
-            await ingress.ask("GET", "/stock-check")
-            answer = (await ingress.call(b"stats\n")).decode().split("\n")
+            assert (await ingress.call_console(b"status\n")).startswith(b"200 ")
+            assert (await ingress.call_console(b"status\r\n")).startswith(b"200 ")
+            assert (await ingress.call_console(b"\xff\xfe\n")).startswith(b"400 ")
+            await ingress.send_request("GET", "/stock-check")
+            answer = (await ingress.call_console(b"stats\n")).decode().split("\n")
             assert answer[0].startswith("200") and answer[-2:] == ["EOF", ""]
             told = dict(line.split("=") for line in answer[1:-2])
             assert told["passed.stock-check"] == "1" and told["passed.place-order"] == "0"
             assert told["upstream_tries"] == "1" and told["known_backends"] == "1"
-            assert (await ingress.call(b"maint-on s-9\n")).startswith(b"400 ")
-            assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200 ")
-            assert (await ingress.ask("GET", "/stock-check")).startswith(b"HTTP/1.1 429")
-            assert (await ingress.call(b"maint-off s-1\n")).startswith(b"200 ")
-            assert (await ingress.ask("GET", "/stock-check")).startswith(b"HTTP/1.1 200")
+            assert (await ingress.call_console(b"maint-on s-9\n")).startswith(b"400 ")
+            assert (await ingress.call_console(b"maint-on s-1\n")).startswith(b"200 ")
+            assert (await ingress.send_request("GET", "/stock-check")).startswith(b"HTTP/1.1 429")
+            assert (await ingress.call_console(b"maint-off s-1\n")).startswith(b"200 ")
+            assert (await ingress.send_request("GET", "/stock-check")).startswith(b"HTTP/1.1 200")
             for _, writer in (*silent, endless):
                 writer.close()
 
@@ -229,7 +229,9 @@
             async def client(me: int) -> None:
                 nonlocal answered
                 reader, writer = await asyncio.open_connection(*ingress.address)
-                asks = (harness.request("GET", "/stock-check", name=f"{me}-{n}") for n in range(each))
+                asks = (
+                    harness.request("GET", "/stock-check", correlation_id=f"{me}-{n}") for n in range(each)
+                )
                 writer.write(b"".join(asks))
                 for _ in range(each):
                     await harness.read_request(reader)
@@ -240,7 +242,7 @@
             while answered < 20:
                 await asyncio.sleep(0)
             for _ in range(3):
-                assert (await ingress.call(b"stats\n")).endswith(b"EOF\n")
+                assert (await ingress.call_console(b"stats\n")).endswith(b"EOF\n")
             assert answered < clients * each  # it did not wait for what was there before it
             await asyncio.gather(*asking)
 
--- a/tests/test_cores_kill.py
+++ b/tests/test_cores_kill.py
@@ -19,8 +19,8 @@
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         async with (
-            harness.party(harness.silent) as (server_address, server),
-            harness.party(harness.counter()) as (counter_address, _),
+            harness.stand_in(harness.no_response) as (server_address, server),
+            harness.stand_in(harness.counter()) as (counter_address, _),
             running_ingress(server_address, counter_address, 2) as ingress,
         ):
             # Requests held by either worker, and decided by either.
--- a/tests/test_cores_scenes.py
+++ b/tests/test_cores_scenes.py
@@ -13,7 +13,7 @@
 from tests.cores_harness import IngressProcess, account_owned_by, request_bytes, running_ingress
 
 STOP, KILL = signal.SIGSTOP, signal.SIGKILL
-Scene = Callable[[IngressProcess, harness.Seen], Awaitable[None]]
+Scene = Callable[[IngressProcess, harness.Received], Awaitable[None]]
 
 
 class StandInServer:
@@ -29,15 +29,15 @@
 
 
 def run_scene(
-    scene: Callable[[IngressProcess, harness.Seen, StandInServer], Awaitable[None]],
+    scene: Callable[[IngressProcess, harness.Received, StandInServer], Awaitable[None]],
     workers: int = 3,
     extra_settings: str = "",
 ) -> None:
     async def run() -> None:
         server = StandInServer()
         async with (
-            harness.party(server) as (server_address, seen),
-            harness.party(harness.counter()) as (counter_address, _),
+            harness.stand_in(server) as (server_address, seen),
+            harness.stand_in(harness.counter()) as (counter_address, _),
             running_ingress(server_address, counter_address, workers, extra_settings) as ingress,
         ):
             await scene(ingress, seen, server)
@@ -45,7 +45,7 @@
     asyncio.run(run())
 
 
-async def wait_for_requests(seen: harness.Seen, count: int) -> None:
+async def wait_for_requests(seen: harness.Received, count: int) -> None:
     async with asyncio.timeout(10):
         while len(seen.requests) < count:
             await asyncio.sleep(0.01)
@@ -66,7 +66,7 @@
 ) -> None:
     owner, lost, signal_number = LOSSES[case]
 
-    async def scene(ingress: IngressProcess, seen: harness.Seen, _: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, seen: harness.Received, _: StandInServer) -> None:
         account = account_owned_by(owner)
         client, others = await ingress.client(), [await ingress.client(), await ingress.client()]
         second = await ingress.client()  # worker 0 again
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("signal_number", [STOP, KILL])
 def test_request_of_a_lost_holder_still_gets_its_owners_answer(signal_number: int) -> None:
-    async def scene(ingress: IngressProcess, seen: harness.Seen, server: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, seen: harness.Received, server: StandInServer) -> None:
         client = await ingress.client()  # held by worker 0
         client.send(request_bytes("place-order", account_owned_by(1), "slow"))
         await wait_for_requests(seen, 1)
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize("signal_number", [STOP, KILL])
 def test_idle_connections_move_to_another_worker(signal_number: int) -> None:
-    async def scene(ingress: IngressProcess, seen: harness.Seen, _: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, seen: harness.Received, _: StandInServer) -> None:
         client = await ingress.client()
         assert await client.ask(request_bytes("place-order", account_owned_by(2), "a")) == 200
         ingress.signal(0, signal_number)
@@ -120,7 +120,7 @@
 
 
 def test_half_read_request_of_a_stalled_worker_is_refused() -> None:
-    async def scene(ingress: IngressProcess, seen: harness.Seen, _: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, seen: harness.Received, _: StandInServer) -> None:
         client = await ingress.client()
         whole = (
             request_bytes("place-order", account_owned_by(0), "a", extra_headers="Content-Length: 3\r\n")
@@ -141,8 +141,8 @@
     # The counter does not answer, so no attempt is made yet.
     async def run() -> None:
         async with (
-            harness.party(harness.silent) as (server_address, seen),
-            harness.party(harness.silent) as (counter_address, _),
+            harness.stand_in(harness.no_response) as (server_address, seen),
+            harness.stand_in(harness.no_response) as (counter_address, _),
             running_ingress(
                 server_address, counter_address, extra_settings="counter-timeout 30s\n"
             ) as ingress,
@@ -158,7 +158,7 @@
 
 
 def test_id_open_at_one_worker_is_rejected_at_every_other() -> None:
-    async def scene(ingress: IngressProcess, seen: harness.Seen, server: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, seen: harness.Received, server: StandInServer) -> None:
         clients = [await ingress.client() for _ in range(3)]
         clients[0].send(request_bytes("place-order", account_owned_by(0), "slow-id"))
         await wait_for_requests(seen, 1)
@@ -175,9 +175,9 @@
     async def run() -> None:
         server = StandInServer()
         async with (
-            harness.party(server) as (server_address, _),
-            harness.party(server) as (other_address, seen),
-            harness.party(harness.counter()) as (counter_address, _),
+            harness.stand_in(server) as (server_address, _),
+            harness.stand_in(server) as (other_address, seen),
+            harness.stand_in(harness.counter()) as (counter_address, _),
             running_ingress(server_address, counter_address) as ingress,
         ):
             ingress.signal(1, STOP)
@@ -206,7 +206,7 @@
 
 
 def test_sigterm_during_a_stall_answers_every_request_and_exits_0() -> None:
-    async def scene(ingress: IngressProcess, seen: harness.Seen, server: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, seen: harness.Received, server: StandInServer) -> None:
         clients = [await ingress.client() for _ in range(3)]
         for worker, client in enumerate(clients):
             client.send(request_bytes("place-order", account_owned_by(worker), f"slow-{worker}"))
@@ -227,7 +227,7 @@
 
 
 def test_crash_looping_worker_backs_off_is_logged_once_and_the_others_serve() -> None:
-    async def scene(ingress: IngressProcess, _: harness.Seen, __: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, _: harness.Received, __: StandInServer) -> None:
         client = await ingress.client()
         for _n in range(4):
             await ingress.wait_until("a process", lambda: 1 in ingress.pids())
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("stalled", [False, True])
 def test_workers_exit_when_the_supervisor_dies(stalled: bool) -> None:
-    async def scene(ingress: IngressProcess, seen: harness.Seen, server: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, seen: harness.Received, server: StandInServer) -> None:
         client = await ingress.client()
         client.send(request_bytes("place-order", account_owned_by(1), "slow"))
         await wait_for_requests(seen, 1)
@@ -280,8 +280,8 @@
 
     async def run() -> None:
         async with (
-            harness.party(lambda r, w: harness.OK) as (server_address, seen),
-            harness.party(count) as (counter_address, _),
+            harness.stand_in(lambda r, w: harness.OK) as (server_address, seen),
+            harness.stand_in(count) as (counter_address, _),
             running_ingress(server_address, counter_address) as ingress,
         ):
             account = account_owned_by(1)
@@ -316,7 +316,7 @@
 def test_malformed_requests_are_answered_and_kill_no_worker() -> None:
     from tests.test_sockets import BAD
 
-    async def scene(ingress: IngressProcess, seen: harness.Seen, _: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, seen: harness.Received, _: StandInServer) -> None:
         before = ingress.pids()
         for name, (data, expected) in BAD.items():
             client = await ingress.client()
@@ -328,7 +328,7 @@
 
 
 def test_failed_start_exits_2_and_leaves_no_worker() -> None:
-    async def scene(ingress: IngressProcess, _: harness.Seen, __: StandInServer) -> None:
+    async def scene(ingress: IngressProcess, _: harness.Received, __: StandInServer) -> None:
         import sys
 
         second = await asyncio.create_subprocess_exec(
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -440,7 +440,9 @@
         async with scene() as running:
             running.exchange.gate.clear()
             _, writer = await running.connect_client()
-            whole = harness.request("POST", "/place-order", b"x" * (begun + rest), left="2.0", name="one")
+            whole = harness.request(
+                "POST", "/place-order", b"x" * (begun + rest), time_left="2.0", correlation_id="one"
+            )
             writer.write(whole[:-rest])
             await wait_until(lambda: running.state.requests)
             writer.write(whole[-rest:])
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -231,8 +231,8 @@
 @pytest.mark.parametrize(
     "data",
     [
-        harness.request("POST", "/place-order", more="Content-Length: 60000000\r\n"),
-        harness.request("POST", "/nothing", more="Content-Length: 90000\r\n"),
+        harness.request("POST", "/place-order", extra_headers="Content-Length: 60000000\r\n"),
+        harness.request("POST", "/nothing", extra_headers="Content-Length: 90000\r\n"),
         b"no request at all\r\n\r\n",
         b"GET /stock-check HTTP/1.1\r\nConnection: close\r\n\r\n",
     ],
@@ -331,8 +331,8 @@
         server = await asyncio.start_unix_server(old, str(tmp_path / "opalgauge.kin"))
         listener = socket.create_server(("127.0.0.1", 0))
         async with (
-            harness.party(harness.silent) as (other, _),
-            harness.starting(other, other, other, listener, str(tmp_path)) as ingress,
+            harness.stand_in(harness.no_response) as (other, _),
+            harness.starting_ingress(other, other, other, listener, str(tmp_path)) as ingress,
         ):
             await asyncio.wait_for(asked.wait(), 60)
             ingress.process.send_signal(signal.SIGTERM)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -60,10 +60,10 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(64)
             async with (
-                harness.party(slow) as (node_at, _),
-                harness.party(harness.counter()) as (quota_at, _),
-                harness.party(harness.silent) as (list_at, _),
-                harness.ingress(node_at, quota_at, list_at, listener, scratch) as old,
+                harness.stand_in(slow) as (node_at, _),
+                harness.stand_in(harness.counter()) as (quota_at, _),
+                harness.stand_in(harness.no_response) as (list_at, _),
+                harness.ready_ingress(node_at, quota_at, list_at, listener, scratch) as old,
             ):
                 over = False
                 answers: list[bytes] = []
@@ -76,7 +76,7 @@
                             reader, writer = await asyncio.open_connection(*old.address)
                         assert reader is not None
                         n += 1
-                        writer.write(harness.request("GET", "/stock-check", name=f"{me}-{n}"))
+                        writer.write(harness.request("GET", "/stock-check", correlation_id=f"{me}-{n}"))
                         answers.append(await harness.read_request(reader))
                         if b"connection: close" in answers[-1].lower():
                             writer.close()
@@ -85,18 +85,18 @@
                         writer.close()
 
                 asking = [asyncio.create_task(client(me)) for me in range(6)]
-                assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
-                async with harness.ingress(node_at, quota_at, list_at, listener, scratch) as new:
-                    assert (await new.call(b"stats\n")).find(b"skipped_backends=1") > 0
+                assert (await old.call_console(b"maint-on s-1\n")).startswith(b"200")
+                async with harness.ready_ingress(node_at, quota_at, list_at, listener, scratch) as new:
+                    assert (await new.call_console(b"stats\n")).find(b"skipped_backends=1") > 0
                     for process in (old, new):  # a new configuration in the overlap, at either
                         await process.reconfigure()
                     old.process.send_signal(signal.SIGTERM)
-                    assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
+                    assert (await new.call_console(b"maint-off s-1\n")).startswith(b"200")
                     assert await asyncio.wait_for(old.process.wait(), 20) == 0
                     await asyncio.sleep(0.3)
                     over = True
                     await asyncio.gather(*asking)
-                    assert (await new.call(b"status\n")).startswith(b"200")
+                    assert (await new.call_console(b"status\n")).startswith(b"200")
                     codes = {answer.split(b" ")[1] for answer in answers}
                     assert codes == {b"200", b"429"}
 
--- a/tests/test_kill.py
+++ b/tests/test_kill.py
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("successor", [False, True], ids=["stop", "upgrade"])
 def test_a_request_that_waits_for_a_silent_counter_is_answered_before_the_kill(successor: bool) -> None:
     async def play() -> None:
-        async with scene(0.4, successor, harness.silent) as (here, second):
+        async with scene(0.4, successor, harness.no_response) as (here, second):
             for name in ("early", "later"):
                 client = await here.open(name)
                 client.follow()
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -32,9 +32,9 @@
     host, port = server.sockets[0].getsockname()
     try:
         async with (
-            harness.party(harness.counter()) as (quota_at, _),
-            harness.party(harness.silent) as (list_at, __),
-            harness.ingress(f"{host}:{port}", quota_at, list_at) as ingress,
+            harness.stand_in(harness.counter()) as (quota_at, _),
+            harness.stand_in(harness.no_response) as (list_at, __),
+            harness.ready_ingress(f"{host}:{port}", quota_at, list_at) as ingress,
         ):
             yield ingress
     finally:
@@ -121,20 +121,22 @@
             before = memory(ingress)
             long = []
             for n in range(6):
-                asked = harness.request("GET", f"/stock-check/long/{n}", name=f"l{n}")
+                asked = harness.request("GET", f"/stock-check/long/{n}", correlation_id=f"l{n}")
                 long.append(await ask(ingress, asked))
                 await long[-1][0].readuntil(b"\r\n\r\n")  # it flows, and is not read on
             for n in range(20):
-                answer = await ingress.raw(harness.request("GET", "/stock-check", name=f"s{n}"))
+                answer = await ingress.exchange(
+                    harness.request("GET", "/stock-check", correlation_id=f"s{n}")
+                )
                 assert answer.endswith(b"done")
-            told = await ingress.call(b"stats\n")
+            told = await ingress.call_console(b"stats\n")
             assert b"in_progress=6\n" in told and b"passed.stock-check=20\n" in told
             for reader, writer in long:
                 for _ in range(32):
                     assert await asyncio.wait_for(reader.readexactly(MB), 60) == block
                 writer.close()
             assert memory(ingress) - before < 24 * MB  # of 192 MB that passed
-            assert b"in_progress=0\n" in await ingress.call(b"stats\n")
+            assert b"in_progress=0\n" in await ingress.call_console(b"stats\n")
 
     asyncio.run(scene())
 
@@ -159,7 +161,7 @@
             before, block = memory(ingress), bytes(range(256)) * 4096
             framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {32 * MB}"
             more = f"{framing}\r\nExpect: 100-continue\r\n"
-            reader, writer = await ask(ingress, harness.request("POST", "/place-order", more=more))
+            reader, writer = await ask(ingress, harness.request("POST", "/place-order", extra_headers=more))
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
             for _ in range(32):
                 writer.write(b"%x;e=1\r\n%s\r\n" % (len(block), block) if chunked else block)
@@ -169,7 +171,7 @@
             assert (await harness.read_request(reader)).endswith(b"done")
             assert bytes(got) == block * 32
             assert memory(ingress) - before < 16 * MB
-            told = await ingress.call(b"stats\n")
+            told = await ingress.call_console(b"stats\n")
             assert b"upstream_tries=1\n" in told and b"passed.place-order=1\n" in told
             writer.close()
 
@@ -189,7 +191,7 @@
                 assert got.startswith(b"HTTP/1.1 200") and not got.endswith(b"0\r\n\r\n")
                 assert got.count(b"x") <= 100_000
                 writer.close()
-                assert b"bad_gateway.stock-check=1\n" in await ingress.call(b"stats\n")
+                assert b"bad_gateway.stock-check=1\n" in await ingress.call_console(b"stats\n")
 
     asyncio.run(scene())
 
@@ -203,11 +205,11 @@
 
         async with harness_of(talk) as ingress:
             more = f"Content-Length: {4 * MB}\r\n"
-            reader, writer = await ask(ingress, harness.request("POST", "/place-order", more=more))
+            reader, writer = await ask(ingress, harness.request("POST", "/place-order", extra_headers=more))
             writer.write(b"x" * MB)
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 429 ") and b"Retry-After" in head
-            writer.write(b"x" * 3 * MB + harness.request("GET", "/stock-check", name="next"))
+            writer.write(b"x" * 3 * MB + harness.request("GET", "/stock-check", correlation_id="next"))
             await writer.drain()
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 429 ")
             writer.close()
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -49,13 +49,13 @@
 
         with tempfile.TemporaryDirectory() as scratch:
             async with (
-                harness.party(ok) as (node_at, _),
-                harness.party(harness.counter()) as (quota_at, _),
-                harness.party(harness.silent) as (list_at, _),
-                harness.ingress(node_at, quota_at, list_at, scratch=scratch) as ingress,
+                harness.stand_in(ok) as (node_at, _),
+                harness.stand_in(harness.counter()) as (quota_at, _),
+                harness.stand_in(harness.no_response) as (list_at, _),
+                harness.ready_ingress(node_at, quota_at, list_at, temp_folder=scratch) as ingress,
             ):
-                await ingress.raw(harness.request("GET", "/stock-check", name="followed"))
-                told = await ingress.call(b"record\n")
+                await ingress.exchange(harness.request("GET", "/stock-check", correlation_id="followed"))
+                told = await ingress.call_console(b"record\n")
                 assert told.startswith(b"200 record\n") and told.endswith(b"EOF\n")
                 assert b"id followed" in told and b"answered 200: a server answered" in told
                 ingress.process.send_signal(signal.SIGUSR1)
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -194,8 +194,8 @@
 def test_the_file_alone_serves_and_a_bad_one_never_ends_a_running_daemon() -> None:
     async def scene() -> None:
         async with (
-            harness.party(lambda r, w: harness.OK) as (node, _),
-            harness.party(lambda r, w: harness.OK) as (other, seen),
+            harness.stand_in(lambda r, w: harness.OK) as (node, _),
+            harness.stand_in(lambda r, w: harness.OK) as (other, seen),
         ):
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "a.conf"
@@ -213,7 +213,7 @@
                     line = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))
                     assert line["subject"] == "ready" and line["ingress"] == "opalgauge"
                     ingress = harness.Ingress(("127.0.0.1", port), process, {}, path)
-                    assert (await ingress.ask("POST", "/place-order")).startswith(b"HTTP/1.1 200")
+                    assert (await ingress.send_request("POST", "/place-order")).startswith(b"HTTP/1.1 200")
                     path.write_text("worker 4")
                     process.send_signal(signal.SIGHUP)
                     told = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))["line"]
@@ -226,7 +226,7 @@
                     while "in force" not in told:
                         told = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))["line"]
                     assert told == "reload: in force: stock-node; after a restart only: log"
-                    assert (await ingress.ask("POST", "/place-order")).startswith(b"HTTP/1.1 200")
+                    assert (await ingress.send_request("POST", "/place-order")).startswith(b"HTTP/1.1 200")
                     assert seen.requests
                     process.terminate()
                     assert await asyncio.wait_for(process.wait(), 60) == 0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,13 +7,13 @@
 
 from tests import harness
 
-SEEDS = 6
+SEED_COUNT = 6
 
 
-def test_seeded_runs_break_nothing() -> None:
-    done = subprocess.run(
-        [sys.executable, "-m", "tests.soak", "--seed", "1", "--seeds", str(SEEDS), "--jobs", "3"],
+def test_seeded_runs_break_no_rule() -> None:
+    completed = subprocess.run(
+        [sys.executable, "-m", "tests.soak", "--seed", "1", "--seeds", str(SEED_COUNT), "--jobs", "3"],
         cwd=harness.ROOT, capture_output=True, text=True, timeout=300,
     )  # fmt: skip
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert f"soak: {SEEDS} passed, 0 failed" in done.stdout
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert f"soak: {SEED_COUNT} passed, 0 failed" in completed.stdout
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.soak.checker import at_the_kill, budget, judge, kill_after
-from tests.soak.deployment import RequestClass, draw
+from tests.soak.checker import check_records, ended_at_kill, kill_delay, slow_start_budget
+from tests.soak.deployment import RequestClass, draw_deployment
 from tests.soak.records import (
     AttemptRecord,
     Effect,
@@ -20,12 +20,12 @@
     RequestRecord,
     ServerRecord,
 )
-from tests.soak.standins import Keys
+from tests.soak.standins import KnownKeys
 
 LIMITS = Limits(3.0, 16.0, 0.2, 1.5, 2.5, 2.0, 512, 128.0)
 
 
-def right() -> Records:
+def clean_records() -> Records:
     """A run in which all went well: one request served, one refused, one retried after it was turned away."""
     served = RequestRecord("a", Effect.UNSAFE, 0, 1.0, 2.0, False, End.ANSWERED, 200, 1.2)
     refused = RequestRecord("b", Effect.UNSAFE, 0, 1.0, 2.0, True, End.ANSWERED, 429, 1.1)
@@ -43,152 +43,159 @@
     )
 
 
-def test_nothing_is_found_where_all_went_well() -> None:
-    assert judge(right()) == []
+def test_clean_records_break_no_rule() -> None:
+    assert check_records(clean_records()) == []
 
 
-def loses(r: Records) -> None:
-    r.requests[0] = replace(r.requests[0], end=End.LOST, status=0)
+def lose_answer(records: Records) -> None:
+    records.requests[0] = replace(records.requests[0], end=End.LOST, status=0)
 
 
-def never_ends(r: Records) -> None:
-    r.requests[0] = replace(r.requests[0], end=None, status=0)
+def never_end(records: Records) -> None:
+    records.requests[0] = replace(records.requests[0], end=None, status=0)
 
 
-def closes_what_it_sent_on(r: Records) -> None:
-    r.requests[0] = replace(r.requests[0], end=End.UNHEARD, status=0, kept=True)
+def close_after_forwarding(records: Records) -> None:
+    records.requests[0] = replace(records.requests[0], end=End.UNHEARD, status=0, kept=True)
 
 
-def cuts_an_answer_that_its_server_gave_whole(r: Records) -> None:
-    r.requests[0] = replace(r.requests[0], end=End.CUT, status=0)
+def cut_whole_answer(records: Records) -> None:
+    records.requests[0] = replace(records.requests[0], end=End.CUT, status=0)
 
 
-def is_late(r: Records) -> None:
-    r.requests[0] = replace(r.requests[0], ended=3.7)
+def answer_late(records: Records) -> None:
+    records.requests[0] = replace(records.requests[0], ended=3.7)
 
 
-def runs_it_twice(r: Records) -> None:
-    r.attempts.append(AttemptRecord("a", 2, 1.3, 1.3, 1.6, True, 1.4))
+def run_twice(records: Records) -> None:
+    records.attempts.append(AttemptRecord("a", 2, 1.3, 1.3, 1.6, True, 1.4))
 
 
-def repeats_what_a_server_does_not_know(r: Records) -> None:
-    r.requests[0] = replace(r.requests[0], effect=Effect.KEYED)
-    r.attempts.append(AttemptRecord("a", 2, 1.3, 1.3, 1.6, True, 1.4))
+def repeat_unknown_key(records: Records) -> None:
+    records.requests[0] = replace(records.requests[0], effect=Effect.KEYED)
+    records.attempts.append(AttemptRecord("a", 2, 1.3, 1.3, 1.6, True, 1.4))
 
 
-def sends_a_second_copy(r: Records) -> None:
-    r.requests[0] = replace(r.requests[0], effect=Effect.SAFE)
-    r.attempts.append(AttemptRecord("a", 2, 1.1, 1.1, 1.6, True, 1.4))
+def send_second_copy(records: Records) -> None:
+    records.requests[0] = replace(records.requests[0], effect=Effect.SAFE)
+    records.attempts.append(AttemptRecord("a", 2, 1.1, 1.1, 1.6, True, 1.4))
 
 
-def makes_one_up(r: Records) -> None:
-    r.attempts.append(AttemptRecord("nobody's", 2, 1.1, 1.1, 1.6, True, 1.4))
+def invent_request(records: Records) -> None:
+    records.attempts.append(AttemptRecord("nobody's", 2, 1.1, 1.1, 1.6, True, 1.4))
 
 
-def refuses_what_ran(r: Records) -> None:
-    r.attempts.append(AttemptRecord("b", 1, 1.05, 1.05, 1.9, True, 1.1))
+def refuse_after_running(records: Records) -> None:
+    records.attempts.append(AttemptRecord("b", 1, 1.05, 1.05, 1.9, True, 1.1))
 
 
-def sends_on_for_one_that_left(r: Records) -> None:
-    r.requests[0] = replace(r.requests[0], end=End.LEFT, status=0, ended=0.9)
+def forward_for_closed_client(records: Records) -> None:
+    records.requests[0] = replace(records.requests[0], end=End.LEFT, status=0, ended=0.9)
 
 
-def tells_too_much_time(r: Records) -> None:
-    r.attempts[0].time_left = 2.3
+def tell_too_much_time(records: Records) -> None:
+    records.attempts[0].time_left = 2.3
 
 
-def sends_to_a_drained_one(r: Records) -> None:
-    r.servers[1].told[0] = 0.1
+def send_to_draining_server(records: Records) -> None:
+    records.servers[1].drain_told[0] = 0.1
 
 
-def overfeeds_a_cold_one(r: Records) -> None:
-    r.servers[1].started = 1.0
-    for n in range(60):
-        r.requests.append(RequestRecord(f"x{n}", Effect.SAFE, 0, 2.0, 2.0, True, End.ANSWERED, 200, 2.1))
-        r.attempts.append(AttemptRecord(f"x{n}", 2, 2.05, 2.05, 1.8, True, 2.1))
+def overload_cold_server(records: Records) -> None:
+    records.servers[1].started = 1.0
+    for number in range(60):
+        records.requests.append(
+            RequestRecord(f"x{number}", Effect.SAFE, 0, 2.0, 2.0, True, End.ANSWERED, 200, 2.1)
+        )
+        records.attempts.append(AttemptRecord(f"x{number}", 2, 2.05, 2.05, 1.8, True, 2.1))
 
 
-def crashes(r: Records) -> None:
-    r.processes[0] = replace(r.processes[0], ended=3.0, code=-11)
+def crash(records: Records) -> None:
+    records.processes[0] = replace(records.processes[0], ended=3.0, code=-11)
 
 
-def ends_with_a_failure(r: Records) -> None:
-    r.processes[0].code = 1
+def exit_with_failure(records: Records) -> None:
+    records.processes[0].code = 1
 
 
-def is_never_ready(r: Records) -> None:
-    r.processes[0] = replace(r.processes[0], ready=math.inf, asked=20.0, ended=20.5)
+def never_become_ready(records: Records) -> None:
+    records.processes[0] = replace(records.processes[0], ready=math.inf, asked=20.0, ended=20.5)
 
 
-def tells_of_a_defect(r: Records) -> None:
-    r.processes[0].faults = 1
+def log_defect(records: Records) -> None:
+    records.processes[0].faults = 1
 
 
-def takes_too_many_descriptors(r: Records) -> None:
-    r.processes[0].descriptors = 513
+def open_too_many_descriptors(records: Records) -> None:
+    records.processes[0].descriptors = 513
 
 
-def takes_too_much_memory(r: Records) -> None:
-    r.processes[0].memory_mb = 129.0
+def use_too_much_memory(records: Records) -> None:
+    records.processes[0].memory_mb = 129.0
 
 
-WRONG: list[tuple[Callable[[Records], None], str]] = [
-    (loses, "lost"), (never_ends, "lost"), (closes_what_it_sent_on, "lost"), (is_late, "late"),
-    (runs_it_twice, "doubled"), (sends_a_second_copy, "second copy"), (makes_one_up, "unknown"),
-    (repeats_what_a_server_does_not_know, "doubled"), (cuts_an_answer_that_its_server_gave_whole, "lost"),
-    (refuses_what_ran, "refused"), (sends_on_for_one_that_left, "gone"), (tells_too_much_time, "deadline"),
-    (sends_to_a_drained_one, "drain"), (overfeeds_a_cold_one, "slow start"), (crashes, "crash"),
-    (ends_with_a_failure, "crash"), (is_never_ready, "not ready"), (tells_of_a_defect, "defect"),
-    (takes_too_many_descriptors, "limits"), (takes_too_much_memory, "limits"),
+BROKEN_RECORDS: list[tuple[Callable[[Records], None], str]] = [
+    (lose_answer, "lost"), (never_end, "lost"), (close_after_forwarding, "lost"), (answer_late, "late"),
+    (run_twice, "doubled"), (send_second_copy, "second copy"), (invent_request, "unknown"),
+    (repeat_unknown_key, "doubled"), (cut_whole_answer, "lost"),
+    (refuse_after_running, "refused"), (forward_for_closed_client, "gone"), (tell_too_much_time, "deadline"),
+    (send_to_draining_server, "drain"), (overload_cold_server, "slow start"), (crash, "crash"),
+    (exit_with_failure, "crash"), (never_become_ready, "not ready"), (log_defect, "defect"),
+    (open_too_many_descriptors, "limits"), (use_too_much_memory, "limits"),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("spoil", "rule"), WRONG, ids=lambda w: getattr(w, "__name__", ""))
-def test_a_wrong_record_is_found(spoil: Callable[[Records], None], rule: str) -> None:
-    records = right()
-    spoil(records)
-    assert rule in {broken.rule for broken in judge(records)}
+@pytest.mark.parametrize(("break_rule", "rule"), BROKEN_RECORDS, ids=lambda w: getattr(w, "__name__", ""))
+def test_broken_record_is_reported(break_rule: Callable[[Records], None], rule: str) -> None:
+    records = clean_records()
+    break_rule(records)
+    assert rule in {violation.rule for violation in check_records(records)}
 
 
-def test_a_request_that_ends_with_the_kill_is_told_apart() -> None:
-    records = right()
-    loses(records)
-    (broken,) = judge(records)
-    assert not at_the_kill(records, broken)
+def test_loss_at_the_kill_is_recognised() -> None:
+    records = clean_records()
+    lose_answer(records)
+    (violation,) = check_records(records)
+    assert not ended_at_kill(records, violation)
     records.processes[0].killed = records.requests[0].ended + 0.002
-    assert at_the_kill(records, broken)
+    assert ended_at_kill(records, violation)
 
 
-def test_the_page_s_figures() -> None:
-    assert kill_after(0.4) == pytest.approx(1.1) and kill_after(8.0) == pytest.approx(3.7)
-    assert budget(0.2, 20.0, LIMITS) == pytest.approx(15 + 3 * math.sqrt(15) + 3)
-    assert budget(1.0, 20.0, LIMITS) == pytest.approx(75 + 2 * math.sqrt(75) + 2)
+def test_limits_of_the_rules() -> None:
+    assert kill_delay(0.4) == pytest.approx(1.1) and kill_delay(8.0) == pytest.approx(3.7)
+    assert slow_start_budget(0.2, 20.0, LIMITS) == pytest.approx(15 + 3 * math.sqrt(15) + 3)
+    assert slow_start_budget(1.0, 20.0, LIMITS) == pytest.approx(75 + 2 * math.sqrt(75) + 2)
 
 
-def test_a_long_answer_that_its_server_broke_off_is_no_loss() -> None:
-    records = right()
-    cuts_an_answer_that_its_server_gave_whole(records)
+def test_long_answer_cut_by_its_server_is_not_lost() -> None:
+    records = clean_records()
+    cut_whole_answer(records)
     for attempt in records.attempts:
         attempt.harmed = True
-    assert not judge(records)
-
-
-def test_servers_drop_a_repeat_whose_key_they_know() -> None:
-    everywhere = RequestClass("a", Effect.KEYED, 0.5, 2.0, window=1.0)
-    nearby = RequestClass("b", Effect.KEYED, 0.5, 2.0, window=1.0, by_zone=True)
-    never = RequestClass("c", Effect.UNSAFE, 0.5, 2.0, window=1.0)
-    keys = Keys((everywhere, nearby, never))
-    told = [b"POST /%b HTTP/1.1\r\nIdempotency-Key: k-%b" % (name, name) for name in (b"a", b"b", b"c")]
-    assert [keys.known(head, 0, 5.0) for head in told] == [False, False, False]
-    assert [keys.known(head, 1, 5.9) for head in told] == [True, False, False]
-    assert [keys.known(head, 0, 5.9) for head in told] == [True, True, False]
-    assert [keys.known(head, 0, 6.0) for head in told] == [False, False, False]
-
-
-def test_a_seed_draws_the_same_deployment_again() -> None:
-    drawn = [draw(seed) for seed in range(40)]
-    assert drawn == [draw(seed) for seed in range(40)]
-    assert {d.crowd for d in drawn} == {d.shim for d in drawn} == {d.upgrades for d in drawn} == {True, False}
+    assert not check_records(records)
+
+
+def test_servers_drop_repeats_of_known_keys() -> None:
+    in_all_zones = RequestClass("a", Effect.KEYED, 0.5, 2.0, dedup_window=1.0)
+    in_one_zone = RequestClass("b", Effect.KEYED, 0.5, 2.0, dedup_window=1.0, dedup_per_zone=True)
+    unkeyed = RequestClass("c", Effect.UNSAFE, 0.5, 2.0, dedup_window=1.0)
+    keys = KnownKeys((in_all_zones, in_one_zone, unkeyed))
+    heads = [b"POST /%b HTTP/1.1\r\nIdempotency-Key: k-%b" % (name, name) for name in (b"a", b"b", b"c")]
+    assert [keys.is_repeat(head, 0, 5.0) for head in heads] == [False, False, False]
+    assert [keys.is_repeat(head, 1, 5.9) for head in heads] == [True, False, False]
+    assert [keys.is_repeat(head, 0, 5.9) for head in heads] == [True, True, False]
+    assert [keys.is_repeat(head, 0, 6.0) for head in heads] == [False, False, False]
+
+
+def test_seed_draws_the_same_deployment() -> None:
+    drawn = [draw_deployment(seed) for seed in range(40)]
+    assert drawn == [draw_deployment(seed) for seed in range(40)]
+    assert (
+        {d.idle_crowd for d in drawn}
+        == {d.system_call_faults for d in drawn}
+        == {d.rolling_upgrades for d in drawn}
+        == {True, False}
+    )
     assert {d.instances for d in drawn} == {1, 2, 3, 4}
     assert any(d.servers >= 100 for d in drawn)
     assert {d.limits.longest_deadline for d in drawn} >= {0.4, 3.0, 5.0}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -24,13 +24,13 @@
 
 @contextlib.asynccontextmanager
 async def harness_with(
-    node: harness.Script, quota: harness.Script | None = None
-) -> AsyncIterator[tuple[harness.Ingress, harness.Seen, harness.Seen]]:
+    node: harness.Responder, quota: harness.Responder | None = None
+) -> AsyncIterator[tuple[harness.Ingress, harness.Received, harness.Received]]:
     async with (
-        harness.party(node) as (node_at, nodes),
-        harness.party(quota or harness.counter()) as (quota_at, quotas),
-        harness.party(harness.silent) as (list_at, _),
-        harness.ingress(node_at, quota_at, list_at) as ingress,
+        harness.stand_in(node) as (node_at, nodes),
+        harness.stand_in(quota or harness.counter()) as (quota_at, quotas),
+        harness.stand_in(harness.no_response) as (list_at, _),
+        harness.ready_ingress(node_at, quota_at, list_at) as ingress,
     ):
         yield ingress, nodes, quotas
 
@@ -44,7 +44,7 @@
         async with harness_with(lambda r, w: harness.OK) as (ingress, nodes, quotas):
             target = "/place-order/a%2Fb/%7e?x=%20&&y=a+b"
             body = bytes(range(256)) * 8
-            answer = await ingress.ask("POST", target, body, "Content-Encoding: gzip\r\n")
+            answer = await ingress.send_request("POST", target, body, "Content-Encoding: gzip\r\n")
             assert status(answer) == 200 and answer.endswith(b"\r\n\r\ndone")
             head, _, passed = nodes.requests[0].partition(b"\r\n\r\n")
             assert head.startswith(b"POST " + target.encode() + b" HTTP/1.1\r\n")
@@ -54,7 +54,7 @@
             assert passed == body
             assert quotas.requests[0].startswith(b"POST /counters/")
             assert b"?by=2&expire_ms=" in quotas.requests[0]
-            assert status(await ingress.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) == 200
+            assert status(await ingress.exchange(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) == 200
 
     asyncio.run(scene())
 
@@ -73,9 +73,9 @@
 
     async def scene() -> None:
         async with harness_with(node) as (ingress, nodes, _):
-            assert status(await ingress.ask("POST", "/place-order")) == 200
+            assert status(await ingress.send_request("POST", "/place-order")) == 200
             await asyncio.sleep(2 * SETTLING)  # at least: until the connection may be used again
-            assert status(await ingress.ask("POST", "/place-order")) == 502
+            assert status(await ingress.send_request("POST", "/place-order")) == 502
             assert nodes.connections == 1
             assert len(nodes.requests) == 2
 
@@ -84,21 +84,21 @@
 
 def test_an_attempt_given_up_ends_its_connection_and_the_client_has_its_answer() -> None:
     async def scene() -> None:
-        async with harness_with(harness.silent) as (ingress, nodes, _):
-            answer = await ingress.raw(harness.request("POST", "/place-order", left="0.4"))
+        async with harness_with(harness.no_response) as (ingress, nodes, _):
+            answer = await ingress.exchange(harness.request("POST", "/place-order", time_left="0.4"))
             assert status(answer) == 504
-            await asyncio.wait_for(nodes.ended.wait(), 30)
+            await asyncio.wait_for(nodes.connection_ended.wait(), 30)
             assert len(nodes.requests) == 1
 
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("quota", [harness.silent, lambda r, w: w.close()], ids=["silent", "breaking"])
-def test_without_a_quota_counter_orders_are_still_answered(quota: harness.Script) -> None:
+@pytest.mark.parametrize("quota", [harness.no_response, lambda r, w: w.close()], ids=["silent", "breaking"])
+def test_without_a_quota_counter_orders_are_still_answered(quota: harness.Responder) -> None:
     async def scene() -> None:
         async with harness_with(lambda r, w: harness.OK, quota) as (ingress, _, quotas):
             for _ in range(3):
-                assert status(await ingress.ask("POST", "/place-order")) == 200
+                assert status(await ingress.send_request("POST", "/place-order")) == 200
             assert quotas.requests
 
     asyncio.run(scene())
@@ -110,8 +110,8 @@
 
     async def scene() -> None:
         async with harness_with(lambda r, w: harness.OK, lambda r, w: away) as (ingress, _, _quotas):
-            assert status(await ingress.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) == 200
-            assert status(await ingress.ask("GET", "/stock-check")) == 200
+            assert status(await ingress.exchange(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) == 200
+            assert status(await ingress.send_request("GET", "/stock-check")) == 200
 
     asyncio.run(scene())
 
@@ -121,22 +121,22 @@
     async def scene() -> None:
         async with (
             harness_with(lambda r, w: harness.OK) as (ingress, _, quotas),
-            harness.party(harness.counter()) as (quota_at, new_quotas),
-            harness.party(harness.silent) as (list_at, new_lists),
+            harness.stand_in(harness.counter()) as (quota_at, new_quotas),
+            harness.stand_in(harness.no_response) as (list_at, new_lists),
         ):
-            assert status(await ingress.ask("POST", "/place-order")) == 200
+            assert status(await ingress.send_request("POST", "/place-order")) == 200
             await ingress.reconfigure(counter=quota_at, discovery=list_at)
             seen = len(quotas.requests)
-            assert status(await ingress.ask("POST", "/place-order")) == 200
+            assert status(await ingress.send_request("POST", "/place-order")) == 200
             assert new_quotas.requests and len(quotas.requests) == seen
             while not new_lists.requests:
                 await asyncio.sleep(0.01)
             assert new_lists.requests[0].startswith(b"GET /v1/endpoints HTTP/1.1")
-            ingress.path.write_text('{"half')
+            ingress.config_path.write_text('{"half')
             ingress.process.send_signal(signal.SIGHUP)
             assert ingress.process.stderr is not None
             assert b"going on as before" in await ingress.process.stderr.readline()
-            assert status(await ingress.ask("POST", "/place-order")) == 200
+            assert status(await ingress.send_request("POST", "/place-order")) == 200
 
     asyncio.run(scene())
 
@@ -203,9 +203,9 @@
 BAD = {
     "an unknown kind": (harness.request("GET", "/nothing"), 404),
     "another method": (harness.request("GET", "/place-order"), 400),
-    "time that is none": (harness.request("GET", "/stock-check", left="soon"), 400),
-    "time that is over": (harness.request("GET", "/stock-check", left="-1"), 400),
-    "time without end": (harness.request("GET", "/stock-check", left="inf"), 400),
+    "time that is none": (harness.request("GET", "/stock-check", time_left="soon"), 400),
+    "time that is over": (harness.request("GET", "/stock-check", time_left="-1"), 400),
+    "time without end": (harness.request("GET", "/stock-check", time_left="inf"), 400),
     "no headers": (b"GET /stock-check HTTP/1.1\r\nHost: x\r\n\r\n", 400),
     "an unknown tariff": (harness.request("GET", "/stock-check").replace(b"negoce", b"gratis"), 400),
     "an account that is none": (harness.request("GET", "/stock-check").replace(b"b4d6", b"zzzz"), 400),
@@ -217,13 +217,16 @@
     "a set too wide": (harness.request("GET", "/stock-check").replace(b"spread=2", b"spread=3"), 400),
     "a set from nowhere": (harness.request("GET", "/stock-check").replace(b"first=0", b"first=2"), 400),
     "no terms": (harness.request("GET", "/stock-check").replace(b"X-Call-Terms", b"X-Other"), 400),
-    "no id": (harness.request("GET", "/stock-check", name=""), 400),
+    "no id": (harness.request("GET", "/stock-check", correlation_id=""), 400),
     "a body where there is none": (harness.request("GET", "/stock-check", b"abc"), 400),
     "a length and chunks": (harness.request("POST", "/place-order", b"abc", CHUNKS), 400),
-    "a negative length": (harness.request("POST", "/place-order", more="Content-Length: -1\r\n"), 400),
+    "a negative length": (
+        harness.request("POST", "/place-order", extra_headers="Content-Length: -1\r\n"),
+        400,
+    ),
     "no HTTP": (b"\x16\x03\x01 what is this\r\n\r\n", 400),
     "far too much to send": (
-        harness.request("POST", "/place-order", more="Content-Length: 60000000\r\n"),
+        harness.request("POST", "/place-order", extra_headers="Content-Length: 60000000\r\n"),
         413,
     ),
     "two lengths": (harness.request("POST", "/place-order", b"abc", "Content-Length: 9\r\n"), 400),
@@ -234,9 +237,9 @@
     async def scene() -> None:
         async with harness_with(lambda r, w: harness.OK) as (ingress, nodes, _):
             for name, (data, expected) in BAD.items():
-                assert status(await ingress.raw(data)) == expected, name
+                assert status(await ingress.exchange(data)) == expected, name
             assert not nodes.requests
-            assert status(await ingress.ask("GET", "/stock-check")) == 200
+            assert status(await ingress.send_request("GET", "/stock-check")) == 200
             assert ingress.process.returncode is None
 
     asyncio.run(scene())
@@ -251,14 +254,16 @@
 
     async def scene() -> None:
         async with harness_with(node) as (ingress, nodes, _):
-            first = asyncio.create_task(ingress.raw(harness.request("POST", "/place-order", left="3.0")))
+            first = asyncio.create_task(
+                ingress.exchange(harness.request("POST", "/place-order", time_left="3.0"))
+            )
             while not nodes.requests:
                 await asyncio.sleep(0.01)
-            assert status(await ingress.ask("GET", "/stock-check")) == 400
+            assert status(await ingress.send_request("GET", "/stock-check")) == 400
             release.set()
             assert status(await first) == 200
             assert len(nodes.requests) == 1
-            assert status(await ingress.ask("GET", "/stock-check")) == 200
+            assert status(await ingress.send_request("GET", "/stock-check")) == 200
 
     asyncio.run(scene())
 
@@ -273,7 +278,7 @@
 
     async def scene() -> None:
         async with harness_with(node) as (ingress, _, _quotas):
-            answers = [status(await ingress.ask("POST", "/place-order")) for _ in range(22)]
+            answers = [status(await ingress.send_request("POST", "/place-order")) for _ in range(22)]
             assert answers == [200] * 19 + [502] + [200] * 2
 
     asyncio.run(scene())
@@ -281,14 +286,14 @@
 
 def test_a_client_that_leaves_has_its_attempt_called_off() -> None:
     async def scene() -> None:
-        async with harness_with(harness.silent) as (ingress, nodes, _):
+        async with harness_with(harness.no_response) as (ingress, nodes, _):
             _, writer = await asyncio.open_connection(*ingress.address)
-            writer.write(harness.request("POST", "/place-order", left="600"))
+            writer.write(harness.request("POST", "/place-order", time_left="600"))
             while not nodes.requests:
                 await asyncio.sleep(0.01)
-            assert not nodes.ended.is_set()
+            assert not nodes.connection_ended.is_set()
             writer.close()
-            await asyncio.wait_for(nodes.ended.wait(), 30)
+            await asyncio.wait_for(nodes.connection_ended.wait(), 30)
 
     asyncio.run(scene())
 
@@ -324,14 +329,16 @@
 
     async def scene() -> None:
         async with harness_with(node) as (ingress, nodes, _):
-            slow = asyncio.create_task(ingress.raw(harness.request("POST", "/place-order/slow", name="slow")))
+            slow = asyncio.create_task(
+                ingress.exchange(harness.request("POST", "/place-order/slow", correlation_id="slow"))
+            )
             while not nodes.requests:
                 await asyncio.sleep(0.01)
             idle_reader, idle_writer = await asyncio.open_connection(*ingress.address)
             ingress.process.send_signal(signal.SIGTERM)
             assert ingress.process.stderr is not None
             assert b"drain" in await ingress.process.stderr.readline()
-            late = await ingress.ask("GET", "/stock-check")
+            late = await ingress.send_request("GET", "/stock-check")
             assert status(late) == 200 and b"connection: close" in late.lower()
             assert await idle_reader.read() == b""  # closed by the ingress, with nothing on it
             idle_writer.close()
@@ -345,8 +352,10 @@
 def test_signals_that_cross_end_the_ingress_once_and_its_client_has_its_answer() -> None:
     # The stock node hangs, so that the order has nothing left but its time; SIGTERM comes twice, and SIGHUP.
     async def scene() -> None:
-        async with harness_with(harness.silent) as (ingress, nodes, _):
-            held = asyncio.create_task(ingress.raw(harness.request("POST", "/place-order", left="1.0")))
+        async with harness_with(harness.no_response) as (ingress, nodes, _):
+            held = asyncio.create_task(
+                ingress.exchange(harness.request("POST", "/place-order", time_left="1.0"))
+            )
             while not nodes.requests:
                 await asyncio.sleep(0.01)
             for sign in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
@@ -365,14 +374,14 @@
 def test_a_start_needs_neither_the_node_list_nor_the_counter() -> None:
     # Guards a whole deployment that starts at once while discovery is down.
     async def scene() -> None:
-        async with harness.party(lambda r, w: harness.OK) as (node, _):
+        async with harness.stand_in(lambda r, w: harness.OK) as (node, _):
             nobody = f"127.0.0.1:{harness.free_port()}"
-            async with harness.starting(node, nobody, nobody) as ingress:
+            async with harness.starting_ingress(node, nobody, nobody) as ingress:
                 assert ingress.process.stderr is not None
                 while b"ready" not in await asyncio.wait_for(ingress.process.stderr.readline(), 60):
                     assert ingress.process.returncode is None
-                assert status(await ingress.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) == 200
-                answer = await ingress.raw(harness.request("POST", "/place-order", left="2.0"))
+                assert status(await ingress.exchange(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) == 200
+                answer = await ingress.exchange(harness.request("POST", "/place-order", time_left="2.0"))
                 assert status(answer) == 200
 
     asyncio.run(scene())
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -25,7 +25,7 @@
 async def has_recorded(ingress: harness.Ingress, words: bytes) -> None:
     """Until a process's record holds these words."""
     async with asyncio.timeout(20):
-        while words not in await ingress.call(b"record\n"):
+        while words not in await ingress.call_console(b"record\n"):
             await asyncio.sleep(0.01)
 
 
@@ -92,9 +92,9 @@
         async with scene(3.0, successor=True) as (here, second), second as new:
             folder = Path(here.parties[4])
             (folder / "opalgauge.marks.new").mkdir()  # it cannot be written while this stands here
-            assert (await here.ingress.call(b"maint-on s-1\n")).startswith(b"200")
+            assert (await here.ingress.call_console(b"maint-on s-1\n")).startswith(b"200")
             async with asyncio.timeout(20):
-                while b"skipped_backends=1" not in await new.call(b"stats\n"):
+                while b"skipped_backends=1" not in await new.call_console(b"stats\n"):
                     await asyncio.sleep(0.01)
             assert not (folder / "opalgauge.marks").exists()
 
