--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -16,7 +16,7 @@
 from tests.soak.checker import kill_delay
 from tests.soak.deployment import Deployment
 from tests.soak.records import ProcessRecord
-from tests.soak.standins import Discovery
+from tests.soak.stand_ins import Discovery
 
 ROOT = Path(__file__).parent.parent.parent
 SAMPLE_INTERVAL = 0.25  # s between looks at what a process holds
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from tests.soak.standins import Clock
+    from tests.soak.stand_ins import Clock
 
 READ_SIZE = 65_536
 PATH_DELAY = 0.03  # s
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -23,7 +23,7 @@
 from tests.soak.processes import Instance
 from tests.soak.proxy import LOSSLESS_FAULTS, PathFault, Proxy
 from tests.soak.records import End, Records, ServerRecord
-from tests.soak.standins import Counter, Discovery, KnownKeys, Server, ServerMode
+from tests.soak.stand_ins import Counter, Discovery, KnownKeys, Server, ServerMode
 
 CROWD_SIZE = 300  # idle connections to each instance: more than it holds
 FAULT_INTERVAL = (
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -20,7 +20,7 @@
     RequestRecord,
     ServerRecord,
 )
-from tests.soak.standins import KnownKeys
+from tests.soak.stand_ins import KnownKeys
 
 LIMITS = Limits(3.0, 16.0, 0.2, 1.5, 2.5, 2.0, 512, 128.0)
 
