--- a/tests/kill_scene.py
+++ b/tests/kill_scene.py
@@ -133,7 +133,7 @@
         """Opens a connection for each name and has one request answered on it."""
         for name in names:
             client = await self.open_client(name)
-            client.send(harness.request("GET", "/stock-check", name=f"warm-{name}"))
+            client.send(harness.request("GET", "/stock-check", correlation_id=f"warm-{name}"))
             assert b" 200 " in await harness.read_request(client.reader)
             client.start_reading()
 
@@ -145,7 +145,9 @@
 
     def send_request(self, name: str, headers: str = "", body: bytes = b"x") -> None:
         """Sends a request that must not run twice, with the longest time left that the deployment allows."""
-        data = harness.request("POST", "/place-order", body, headers, left=f"{self.deadline}", name=name)
+        data = harness.request(
+            "POST", "/place-order", body, headers, time_left=f"{self.deadline}", correlation_id=name
+        )
         self.clients[name].send(data)
 
     def terminate(self) -> Termination:
@@ -160,7 +162,7 @@
 
 @contextlib.asynccontextmanager
 async def scene(
-    deadline: float, successor: bool, counter: harness.Script | None = None
+    deadline: float, successor: bool, counter: harness.Responder | None = None
 ) -> AsyncIterator[tuple[KillScene, Any]]:
     """Yields an ingress and a context manager that starts its successor (empty without `successor`)."""
     with socket.socket() as listener, tempfile.TemporaryDirectory() as folder:
@@ -168,9 +170,9 @@
         listener.listen(64)
         shared_listener = listener if successor else None
         async with (
-            harness.party(server_script) as (server_address, _),
-            harness.party(counter or harness.counter()) as (counter_address, _),
-            harness.party(harness.silent) as (list_address, _),
+            harness.stand_in(server_script) as (server_address, _),
+            harness.stand_in(counter or harness.counter()) as (counter_address, _),
+            harness.stand_in(harness.no_response) as (list_address, _),
         ):
             ingress_arguments = (
                 server_address,
@@ -181,8 +183,8 @@
                 0,
                 settings(deadline),
             )
-            async with harness.ingress(*ingress_arguments) as ingress:
+            async with harness.ready_ingress(*ingress_arguments) as ingress:
                 successor_ingress = (
-                    harness.ingress(*ingress_arguments) if successor else contextlib.nullcontext()
+                    harness.ready_ingress(*ingress_arguments) if successor else contextlib.nullcontext()
                 )
                 yield KillScene(ingress, deadline, ingress_arguments), successor_ingress
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -208,20 +208,20 @@
             endless = await asyncio.open_connection(*ingress.admin_address)
             endless[1].write(b"x" * 100_000)
             assert (await endless[0].read()).startswith(b"400 ")
-            assert (await ingress.call(b"status\n")).startswith(b"200 ")
-            assert (await ingress.call(b"status\r\n")).startswith(b"200 ")
-            assert (await ingress.call(b"\xff\xfe\n")).startswith(b"400 ")
-            await ingress.ask("GET", "/stock-check")
-            answer = (await ingress.call(b"stats\n")).decode().split("\n")
+            assert (await ingress.call_admin(b"status\n")).startswith(b"200 ")
+            assert (await ingress.call_admin(b"status\r\n")).startswith(b"200 ")
+            assert (await ingress.call_admin(b"\xff\xfe\n")).startswith(b"400 ")
+            await ingress.send_request("GET", "/stock-check")
+            answer = (await ingress.call_admin(b"stats\n")).decode().split("\n")
             assert answer[0].startswith("200") and answer[-2:] == ["EOF", ""]
             statistics = dict(line.split("=") for line in answer[1:-2])
             assert statistics["passed.stock-check"] == "1" and statistics["passed.place-order"] == "0"
             assert statistics["upstream_tries"] == "1" and statistics["known_backends"] == "1"
-            assert (await ingress.call(b"maint-on s-9\n")).startswith(b"400 ")
-            assert (await ingress.call(b"maint-on s-1\n")).startswith(b"200 ")
-            assert (await ingress.ask("GET", "/stock-check")).startswith(b"HTTP/1.1 429")
-            assert (await ingress.call(b"maint-off s-1\n")).startswith(b"200 ")
-            assert (await ingress.ask("GET", "/stock-check")).startswith(b"HTTP/1.1 200")
+            assert (await ingress.call_admin(b"maint-on s-9\n")).startswith(b"400 ")
+            assert (await ingress.call_admin(b"maint-on s-1\n")).startswith(b"200 ")
+            assert (await ingress.send_request("GET", "/stock-check")).startswith(b"HTTP/1.1 429")
+            assert (await ingress.call_admin(b"maint-off s-1\n")).startswith(b"200 ")
+            assert (await ingress.send_request("GET", "/stock-check")).startswith(b"HTTP/1.1 200")
             for _, writer in (*silent, endless):
                 writer.close()
 
@@ -237,7 +237,7 @@
                 nonlocal answered
                 reader, writer = await asyncio.open_connection(*ingress.address)
                 requests = (
-                    harness.request("GET", "/stock-check", name=f"{client_number}-{n}")
+                    harness.request("GET", "/stock-check", correlation_id=f"{client_number}-{n}")
                     for n in range(requests_per_client)
                 )
                 writer.write(b"".join(requests))
@@ -250,7 +250,7 @@
             while answered < 20:
                 await asyncio.sleep(0)
             for _ in range(3):
-                assert (await ingress.call(b"stats\n")).endswith(b"EOF\n")
+                assert (await ingress.call_admin(b"stats\n")).endswith(b"EOF\n")
             assert answered < clients * requests_per_client  # it did not wait for what was there before it
             await asyncio.gather(*client_tasks)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -58,10 +58,12 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(64)
             async with (
-                harness.party(slow) as (server_address, _),
-                harness.party(harness.counter()) as (counter_address, _),
-                harness.party(harness.silent) as (list_address, _),
-                harness.ingress(server_address, counter_address, list_address, listener, scratch) as old,
+                harness.stand_in(slow) as (server_address, _),
+                harness.stand_in(harness.counter()) as (counter_address, _),
+                harness.stand_in(harness.no_response) as (list_address, _),
+                harness.ready_ingress(
+                    server_address, counter_address, list_address, listener, scratch
+                ) as old,
             ):
                 stopped = False
                 answers: list[bytes] = []
@@ -74,7 +76,7 @@
                             reader, writer = await asyncio.open_connection(*old.address)
                         assert reader is not None
                         n += 1
-                        writer.write(harness.request("GET", "/stock-check", name=f"{me}-{n}"))
+                        writer.write(harness.request("GET", "/stock-check", correlation_id=f"{me}-{n}"))
                         answers.append(await harness.read_request(reader))
                         if b"connection: close" in answers[-1].lower():
                             writer.close()
@@ -83,20 +85,20 @@
                         writer.close()
 
                 asking = [asyncio.create_task(client(me)) for me in range(6)]
-                assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
-                async with harness.ingress(
+                assert (await old.call_admin(b"maint-on s-1\n")).startswith(b"200")
+                async with harness.ready_ingress(
                     server_address, counter_address, list_address, listener, scratch
                 ) as new:
-                    assert (await new.call(b"stats\n")).find(b"skipped_backends=1") > 0
+                    assert (await new.call_admin(b"stats\n")).find(b"skipped_backends=1") > 0
                     for process in (old, new):  # both are reconfigured while both run
                         await process.reconfigure()
                     old.process.send_signal(signal.SIGTERM)
-                    assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
+                    assert (await new.call_admin(b"maint-off s-1\n")).startswith(b"200")
                     assert await asyncio.wait_for(old.process.wait(), 20) == 0
                     await asyncio.sleep(0.3)
                     stopped = True
                     await asyncio.gather(*asking)
-                    assert (await new.call(b"status\n")).startswith(b"200")
+                    assert (await new.call_admin(b"status\n")).startswith(b"200")
                     codes = {answer.split(b" ")[1] for answer in answers}
                     assert codes == {b"200", b"429"}
 
--- a/tests/test_kill.py
+++ b/tests/test_kill.py
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("successor", [False, True], ids=["stop", "upgrade"])
 def test_a_request_that_waits_for_a_silent_counter_is_answered_before_the_kill(successor: bool) -> None:
     async def scenario() -> None:
-        async with scene(0.4, successor, harness.silent) as (running, second):
+        async with scene(0.4, successor, harness.no_response) as (running, second):
             for name in ("early", "later"):
                 client = await running.open_client(name)
                 client.start_reading()
--- a/tests/test_races_attempts.py
+++ b/tests/test_races_attempts.py
@@ -452,7 +452,7 @@
             running.runtime.gate.clear()
             _, writer = await running.connect_client()
             whole = harness.request(
-                "POST", "/place-order", b"x" * (buffered + unread), left="2.0", name="one"
+                "POST", "/place-order", b"x" * (buffered + unread), time_left="2.0", correlation_id="one"
             )
             writer.write(whole[:-unread])
             await wait_until(lambda: running.state.requests)
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -232,8 +232,8 @@
 def test_an_invalid_reload_does_not_end_a_running_ingress() -> None:
     async def scenario() -> None:
         async with (
-            harness.party(lambda r, w: harness.OK) as (node, _),
-            harness.party(lambda r, w: harness.OK) as (other, seen),
+            harness.stand_in(lambda r, w: harness.OK) as (node, _),
+            harness.stand_in(lambda r, w: harness.OK) as (other, seen),
         ):
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "a.conf"
@@ -251,7 +251,7 @@
                     line = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))
                     assert line["subject"] == "ready" and line["ingress"] == "opalgauge"
                     ingress = harness.Ingress(("127.0.0.1", port), process, {}, path)
-                    assert (await ingress.ask("POST", "/place-order")).startswith(b"HTTP/1.1 200")
+                    assert (await ingress.send_request("POST", "/place-order")).startswith(b"HTTP/1.1 200")
                     path.write_text("worker 4")
                     process.send_signal(signal.SIGHUP)
                     log_line = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))["line"]
@@ -264,7 +264,7 @@
                     while "in force" not in log_line:
                         log_line = json.loads(await asyncio.wait_for(process.stderr.readline(), 60))["line"]
                     assert log_line == "reload: in force: stock-node; after a restart only: log"
-                    assert (await ingress.ask("POST", "/place-order")).startswith(b"HTTP/1.1 200")
+                    assert (await ingress.send_request("POST", "/place-order")).startswith(b"HTTP/1.1 200")
                     assert seen.requests
                     process.terminate()
                     assert await asyncio.wait_for(process.wait(), 60) == 0
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -30,7 +30,7 @@
 
     ingress: harness.Ingress
     shim: Shim
-    server: harness.Seen
+    server: harness.Received
 
     def cpu_seconds(self) -> float:
         """CPU time that the process has used so far."""
@@ -40,19 +40,21 @@
     async def wait_for_fault(self, fault: str, least: int = 1) -> None:
         """Waits until the fault has been injected `least` times."""
         async with asyncio.timeout(ANSWER_TIMEOUT):
-            while self.shim.given(fault) < least:
+            while self.shim.injected_count(fault) < least:
                 await asyncio.sleep(0.005)
 
     async def send_check(self, name: str) -> int:
         """Sends a repeatable request; returns the status of its answer."""
-        return await self._status(harness.request("GET", "/stock-check", name=name))
+        return await self._status(harness.request("GET", "/stock-check", correlation_id=name))
 
     async def send_place(self, name: str) -> int:
         """Sends a request that must not run twice, with the longest time left that the deployment allows."""
-        return await self._status(harness.request("POST", "/place-order", b"x", left="3.0", name=name))
+        return await self._status(
+            harness.request("POST", "/place-order", b"x", time_left="3.0", correlation_id=name)
+        )
 
     async def _status(self, request: bytes) -> int:
-        answer = self.ingress.raw(request)
+        answer = self.ingress.exchange(request)
         return int((await asyncio.wait_for(answer, ANSWER_TIMEOUT))[9:12])
 
 
@@ -64,10 +66,10 @@
 async def scene(folder: Path) -> AsyncIterator[Scene]:
     shim = Shim(str(folder))
     async with (
-        harness.party(ok) as (server_address, server),
-        harness.party(harness.counter()) as (counter_address, _),
-        harness.party(harness.silent) as (list_address, _),
-        harness.ingress(server_address, counter_address, list_address, environ=shim.environ) as ingress,
+        harness.stand_in(ok) as (server_address, server),
+        harness.stand_in(harness.counter()) as (counter_address, _),
+        harness.stand_in(harness.no_response) as (list_address, _),
+        harness.ready_ingress(server_address, counter_address, list_address, environ=shim.environ) as ingress,
     ):
         yield Scene(ingress, shim, server)
 
@@ -79,7 +81,7 @@
 def test_a_failing_accept_delays_a_client_and_loses_none(error: str, tmp_path: Path) -> None:
     async def scenario() -> None:
         async with scene(tmp_path) as running:
-            running.shim.give("accept", getattr(errno, error))
+            running.shim.inject("accept", getattr(errno, error))
             waiting = asyncio.create_task(running.send_check("waits"))
             await running.wait_for_fault("accept", 3)
             used, began = running.cpu_seconds(), time.monotonic()
@@ -96,7 +98,7 @@
     # Soak seed 223: requests that had waited 0.25 s in the accept queue were forwarded with all their time.
     async def scenario() -> None:
         async with scene(tmp_path) as running:
-            running.shim.give("accept", errno.EMFILE)
+            running.shim.inject("accept", errno.EMFILE)
             answer = asyncio.create_task(running.send_check("waits"))
             await running.wait_for_fault("accept", 3)
             began = time.monotonic()
@@ -104,13 +106,13 @@
             running.shim.stop("accept")
             waited = time.monotonic() - began
             assert await answer == 200 and await running.send_check("after") == 200
-            running.shim.give("accept", errno.EMFILE)
+            running.shim.inject("accept", errno.EMFILE)
             reader, writer = await asyncio.open_connection(*running.ingress.address)
             await running.wait_for_fault("accept", 6)
             await asyncio.sleep(0.3)
             running.shim.stop("accept")
             await asyncio.sleep(0.1)  # it is accepted and sends its request only now
-            writer.write(harness.request("GET", "/stock-check", name="asks-late"))
+            writer.write(harness.request("GET", "/stock-check", correlation_id="asks-late"))
             assert b" 200 " in await asyncio.wait_for(harness.read_request(reader), ANSWER_TIMEOUT)
             writer.close()
             times_left = [float(TIME_LEFT.search(request)[1]) for request in running.server.requests]  # type: ignore[index]
@@ -125,13 +127,13 @@
 def test_the_accept_delay_is_deducted_from_the_request_that_waited_and_no_other(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with scene(tmp_path) as running:
-            running.shim.give("accept", errno.EMFILE)
+            running.shim.inject("accept", errno.EMFILE)
             reader, writer = await asyncio.open_connection(*running.ingress.address)
             writer.write(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
             await running.wait_for_fault("accept", 3)
             await asyncio.sleep(0.4)
             running.shim.stop("accept")
-            for request in (b"", harness.request("GET", "/stock-check", name="asks-next")):
+            for request in (b"", harness.request("GET", "/stock-check", correlation_id="asks-next")):
                 writer.write(request)
                 assert b" 200 " in await asyncio.wait_for(harness.read_request(reader), ANSWER_TIMEOUT)
             writer.close()
@@ -144,7 +146,7 @@
 def test_clients_behind_a_failing_accept_are_answered_when_it_is_asked_to_stop(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with scene(tmp_path) as running:
-            running.shim.give("accept", errno.EMFILE)
+            running.shim.inject("accept", errno.EMFILE)
             waiting = asyncio.create_task(running.send_place("waits"))
             await running.wait_for_fault("accept", 3)
             running.ingress.process.send_signal(signal.SIGTERM)
@@ -163,7 +165,7 @@
 ) -> None:
     async def scenario() -> None:
         async with scene(tmp_path) as running:
-            running.shim.give(call, getattr(errno, error))
+            running.shim.inject(call, getattr(errno, error))
             assert await running.send_check("without") in (429, 502, 504)
             await running.wait_for_fault(call)
             running.shim.stop(call)
@@ -177,11 +179,11 @@
 def test_short_reads_and_writes_change_no_answer(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with scene(tmp_path) as running:
-            running.shim.give("short_read", 7)
-            running.shim.give("short_write", 5)
-            running.shim.give("accept", errno.EINTR, percent=60)
-            running.shim.give("read", errno.EINTR, percent=20)
-            running.shim.give("write", errno.EINTR, percent=20)
+            running.shim.inject("short_read", 7)
+            running.shim.inject("short_write", 5)
+            running.shim.inject("accept", errno.EINTR, percent=60)
+            running.shim.inject("read", errno.EINTR, percent=20)
+            running.shim.inject("write", errno.EINTR, percent=20)
             for n in range(8):
                 assert await running.send_check(f"piecewise-{n}") == 200
             for fault in ("short_read", "short_write", "accept", "read", "write"):
@@ -194,7 +196,7 @@
 def test_a_broken_connection_affects_no_other(error: str, tmp_path: Path) -> None:
     async def scenario() -> None:
         async with scene(tmp_path) as running:
-            running.shim.give("read", getattr(errno, error))
+            running.shim.inject("read", getattr(errno, error))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await running.send_check("broken")
             await running.wait_for_fault("read")
@@ -209,9 +211,9 @@
 
 def test_the_preloaded_library_injects_the_faults_it_is_told(tmp_path: Path) -> None:
     shim = Shim(str(tmp_path))
-    shim.give("folder", errno.ENOSPC)
-    shim.give("wall_clock", 3600)
-    shim.give("socket", errno.EMFILE)
+    shim.inject("file_system", errno.ENOSPC)
+    shim.inject("wall_clock", 3600)
+    shim.inject("socket", errno.EMFILE)
     script = (
         "import errno, socket, time\n"
         "assert time.time() - time.clock_gettime(time.CLOCK_MONOTONIC) > 0\n"
@@ -228,5 +230,5 @@
     )  # fmt: skip
     assert done.returncode == 0, done.stderr
     assert 3590 < float(done.stdout) - time.time() < 3610
-    for fault in ("folder", "wall_clock", "socket"):
-        assert shim.given(fault) >= 1
+    for fault in ("file_system", "wall_clock", "socket"):
+        assert shim.injected_count(fault) >= 1
--- a/tests/test_upgrade_faults.py
+++ b/tests/test_upgrade_faults.py
@@ -24,7 +24,7 @@
 async def wait_for_record(ingress: harness.Ingress, text: bytes) -> None:
     """Waits until the record of a process contains a text."""
     async with asyncio.timeout(20):
-        while text not in await ingress.call(b"record\n"):
+        while text not in await ingress.call_admin(b"record\n"):
             await asyncio.sleep(0.01)
 
 
@@ -92,9 +92,9 @@
         async with scene(3.0, successor=True) as (running, second), second as new:
             folder = Path(running.ingress_arguments[4])
             (folder / "opalgauge.marks.new").mkdir()  # the ban file cannot be written while this exists
-            assert (await running.ingress.call(b"maint-on s-1\n")).startswith(b"200")
+            assert (await running.ingress.call_admin(b"maint-on s-1\n")).startswith(b"200")
             async with asyncio.timeout(20):
-                while b"skipped_backends=1" not in await new.call(b"stats\n"):
+                while b"skipped_backends=1" not in await new.call_admin(b"stats\n"):
                     await asyncio.sleep(0.01)
             assert not (folder / "opalgauge.marks").exists()
 
