--- a/opalgauge/__init__.py
+++ b/opalgauge/__init__.py
@@ -1,1 +1,1 @@
-"""opalgauge: a shared-quota HTTP ingress, on real sockets."""
+"""opalgauge: an HTTP ingress that shares quotas over many instances."""
--- a/opalgauge/__main__.py
+++ b/opalgauge/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one ingress: `python -m opalgauge`."""
+"""Entry point of `python -m opalgauge`: runs one ingress, configured by the platform."""
 
 import sys
 
--- a/opalgauge/lifecycle/__init__.py
+++ b/opalgauge/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, clock, readiness, SIGTERM and exit."""
+"""Process lifecycle: configuration, clock, logging, start, reload, drain and exit."""
--- a/opalgauge/lifecycle/config.py
+++ b/opalgauge/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""The configuration of an ingress, read once at its start."""
+"""Builds the configuration of an ingress from the platform's JSON document and the environment."""
 
 from __future__ import annotations
 
@@ -18,56 +18,60 @@
 from starlinggap.brain import check_settings
 from starlinggap.interface import Settings, SettingsError
 
-KEEP_ALIVE_DIVISOR = 3  # part of the clients' connections
-DIAL_TIMEOUT_SHARE = 0.4  # of the time allowed for connecting: where a connection comes up, it takes a few ms
-IDLE_TIMEOUT_SHARE = 0.6  # of the time after which a stock node closes an idle connection
-# Where the list must be asked for, a question that is given up has taken a turn from all ingresses.
-LIST_WAIT = timedelta(seconds=20)  # a watch waits so long there
-LIST_FLEET_TURN = timedelta(
-    milliseconds=100
-)  # for each ingress: the node list was seen to tell 6 to 12 a second
+# With more than max_clients / KEEP_ALIVE_DIVISOR clients, new connections end with their first answer.
+KEEP_ALIVE_DIVISOR = 3
+# Share of the time allowed for connecting. A connect that succeeds takes a few ms.
+DIAL_TIMEOUT_SHARE = 0.4
+# Share of the time after which a server closes an idle connection, so that the ingress closes it first.
+IDLE_TIMEOUT_SHARE = 0.6
+# The following three hold if discovery answers on request only. It then serves all ingresses in turn, and a
+# request that is given up has used a turn that another ingress could have had.
+LIST_WAIT = timedelta(seconds=20)
+LIST_FLEET_TURN = timedelta(milliseconds=100)  # per ingress: discovery served 6 to 12 lists a second
 LIST_MAX_PAUSE = timedelta(seconds=8)
-STREAM_MEMORY_SHARE, STREAM_MAX_MB = (
-    0.5,
-    0.45,
-)  # of the memory, for long bodies; what one of them holds of it at most
-RESERVED_SOCKETS = 48  # listener, node list, quota counter, standard streams and the loop's own
+# Share of the memory for streamed bodies, and MB that one of them holds at most.
+STREAM_MEMORY_SHARE, STREAM_MAX_MB = 0.5, 0.45
+RESERVED_SOCKETS = 48  # listener, discovery, quota counter, standard streams and the event loop's own
 
 
 class ConfigError(Exception):
-    """The ingress cannot start; the message says why in one line."""
+    """The configuration cannot be used; the message is one line for the log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Peering:
-    """What joins this ingress with the others; only our own settings file tells it."""
+    """How this ingress communicates with its peers. Only the settings file can configure it."""
 
     listen: tuple[str, int]
     peers: dict[int, tuple[str, int]]
     secret: bytes
-    watches_zones: bool  # they are judged
-    acts_on_zones: bool  # False: zones are judged and shown, and nothing is decided by it
+    watches_zones: bool  # the health of zones is tracked
+    acts_on_zones: bool  # False: zone health is reported, and decisions ignore it
     lease_mode: str  # of quotas: off, even, ahead or on
-    replicates: bool  # bans and judgements are the same at all ingresses
+    replicates: bool  # bans and server ejections are replicated to all ingresses
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The complete configuration of one ingress."""
+
     name: str
     listen: tuple[str, int]
     ingress: IngressConfig
     trade: Trade
     zones: tuple[str, ...]
     class_names: tuple[str, ...] = ()
-    admin_address: tuple[str, int] | None = None  # where staff call; None: there is none such
-    listen_fd: int | None = None  # the clients' listening socket, where the platform holds it
-    peering: Peering | None = None  # None: zones are not judged, and no datagram is sent
-    platform_settings: Any = None  # as they were told: whatever was learned under others is no good
-    state_folder: str = ""  # the platform's folder for this ingress, the same for an old and a new process
+    admin_address: tuple[str, int] | None = None  # of the admin endpoint; None: there is none
+    listen_fd: int | None = None  # the listening socket, if the platform passes it on
+    peering: Peering | None = None  # None: no datagrams are exchanged with peers
+    # The settings as received: state that was learned under other settings is not taken over from them.
+    platform_settings: Any = None
+    # The folder of this ingress (TMPDIR), shared by an old and a new process.
+    state_folder: str = ""
 
 
 def flatten(settings: Any, path: str = "") -> Iterator[str]:
-    """Nested settings as the `path=value` lines that the decision module's adapter reads."""
+    """Yields nested settings as the `path=value` lines that `starlinggap.benchlink` reads."""
     if isinstance(settings, Mapping):
         for key, value in settings.items():
             yield from flatten(value, f"{path}.{key}" if path else str(key))
@@ -98,7 +102,10 @@
 def check_platform_settings(
     platform_settings: Mapping[str, Any], settings: Settings, dial_timeout: float
 ) -> None:
-    """Refuses settings that contradict themselves, as half of another deployment's file would."""
+    """Checks that settings are consistent, which a mixture of two deployments' files would not be.
+
+    `dial_timeout` in s. Raises SettingsError.
+    """
 
     def require(condition: bool, message: str) -> None:
         if not condition:
@@ -107,22 +114,24 @@
     check_settings(settings)
     for key in ("classes", "tiers_of_service"):
         names = [str(row["name"]) for row in platform_settings[key]]
-        require(len(set(names)) == len(names), f"{key}: a name stands there twice")
-        require(all(names), f"{key}: one has no name")
+        require(len(set(names)) == len(names), f"{key}: a name occurs twice")
+        require(all(names), f"{key}: a name is missing")
     for n, row in enumerate(platform_settings["classes"]):
-        # Guards against taking a class for one that may be repeated because nobody said that it may not.
+        # Without this check, a class would count as repeatable because its effect was left out.
         require("effect" in row, f"classes[{n}].effect: missing")
-    require(0 <= settings.gateway_index < settings.gateways, "me: no number among the balancers")
+    require(0 <= settings.gateway_index < settings.gateways, "me: must be below balancers, and 0 or more")
     require(settings.max_attempts >= 1, "ceilings.try_limit: must be 1 or more")
     require(0 < settings.max_units < math.inf, "domain.units_top: must be above 0")
     require(
-        not settings.use_counter or 0 < settings.counter_timeout < math.inf, "domain.counter_timeout: above 0"
+        not settings.use_counter or 0 < settings.counter_timeout < math.inf,
+        "domain.counter_timeout: must be above 0",
     )
     require(0 < settings.idle_timeout < math.inf, "ceilings.conn_idle: must be above 0")
     require(0 < dial_timeout < math.inf, "ceilings.dial_timeout: must be above 0")
 
 
 def make_config(platform_config: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
+    """Builds and checks the configuration. Raises ConfigError."""
     try:
         platform_settings = platform_config["settings"]
         settings, _ = read_settings("\n".join(flatten(platform_settings)))
@@ -131,8 +140,7 @@
         settings = replace(settings, idle_timeout=server_idle_timeout.total_seconds())
         sockets = int(platform_config.get("limits", {}).get("sockets", 1024))
         known = platform_config.get("known") or {}
-        # Half for clients, of whose requests at most a third of all descriptors is open; most of the rest
-        # for stock nodes.
+        # Half of the descriptors are for clients, and most of the rest for connections to servers.
         max_clients = max(16, sockets // 2)
         max_connections = max(16, sockets - max_clients - RESERVED_SOCKETS)
         memory = float(platform_config.get("limits", {}).get("memory_mb", 192))
@@ -143,7 +151,7 @@
             settings=settings,
             seed=int(str(platform_config.get("seed", "0")), 16),
             counter_address=str(platform_config.get("counter", "")),
-            # The file before the environment: it may have been replaced since this was set.
+            # The file takes precedence: it may have been replaced since the environment was set.
             server_list_address=str(
                 platform_config["discovery"]
                 if platform_config.get("discovery") is not None
@@ -190,7 +198,7 @@
             )
             ingress = replace(ingress, watches_zones=watches_zones, uses_leases=leases != "off")
         listen = _parse_address(environ.get("BALANCER_LISTEN") or str(platform_config["listen"]))
-        # The environment before the file: two processes at one address differ in it alone.
+        # The environment takes precedence: two processes at one address differ in it only.
         admin_address = environ.get("BALANCER_CONSOLE") or platform_config.get("console")
         inherited_fd = environ.get("BALANCER_LISTEN_FD")
         return Config(
@@ -219,7 +227,7 @@
 
 
 def read_platform_config(environ: Mapping[str, str] = os.environ) -> dict[str, Any]:
-    """The platform's JSON file as it stands."""
+    """Reads the JSON document that BALANCER_CONFIG names. Raises ConfigError."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG is not set")
@@ -228,9 +236,10 @@
     except (OSError, ValueError) as error:
         raise ConfigError(f"configuration cannot be read: {error}") from None
     if not isinstance(platform_config, dict):
-        raise ConfigError("configuration cannot be read: it is no object")
+        raise ConfigError("configuration cannot be read: not a JSON object")
     return platform_config
 
 
 def read_config(environ: Mapping[str, str] = os.environ) -> Config:
+    """Reads the platform's document and builds the configuration from it. Raises ConfigError."""
     return make_config(read_platform_config(environ), environ)
--- a/opalgauge/lifecycle/directives.py
+++ b/opalgauge/lifecycle/directives.py
@@ -1,4 +1,4 @@
-"""Every directive of the settings file: what it takes, its default, and whether SIGHUP changes it."""
+"""The directives of the settings file: arguments, options, defaults, and whether SIGHUP applies a change."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """A `key=value` word of a directive. `needed`: it has no default."""
+    """A `key=value` option of a directive. A required one has no default."""
 
     parse: Parser
     default: Any = None
@@ -23,11 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Directive:
-    """`takes`: a reader for each plain word. `many`: it may stand more than once. `open`: any
-    number of words.
+    """A directive of the settings file.
 
-    `live`: SIGHUP changes it in service; anything else counts from the next start on.
-    `trade`: what the platform's own file says where `platform` names one, so it may not stand beside it.
+    `arguments` holds one parser for each positional argument; a variadic directive takes any number of
+    arguments, all read by the same parser. A repeatable directive may occur more than once. SIGHUP applies a
+    change of a reloadable directive; other changes take effect at the next start. A directive that is
+    `set_by_platform` may not occur together with `platform`, whose file sets it.
     """
 
     arguments: tuple[Parser, ...]
@@ -41,6 +42,7 @@
 
 
 def ms(value: float) -> timedelta:
+    """A duration in milliseconds."""
     return timedelta(milliseconds=value)
 
 
@@ -71,7 +73,7 @@
     "restart-pause-most": Directive(
         (parsers.positive_duration,), timedelta(seconds=15), "that pause grows no longer", reloadable=True
     ),
-    # --- the other parties
+    # --- quota counter and discovery
     "counter": Directive(
         (parsers.address,),
         description="the quota counter; none: quotas are kept here alone",
@@ -108,7 +110,7 @@
     "seed": Directive(
         (parsers.seed,), description="for random numbers; default: drawn at each start", set_by_platform=True
     ),
-    # --- the trade
+    # --- classes, plans and costs
     "kind": Directive(
         (parsers.name,),
         description="a kind of request",
@@ -116,10 +118,9 @@
         set_by_platform=True,
         options={
             "repeat": Option(parsers.one_of("safe", "keyed", "never"), required=True),
-            "window": Option(parsers.duration, timedelta(0)),  # keyed: how long stock nodes drop a repeat
-            "among": Option(
-                parsers.one_of("all", "site"), "all"
-            ),  # keyed: which stock nodes drop it together
+            "window": Option(parsers.duration, timedelta(0)),  # keyed: how long servers recognise a repeat
+            # keyed: the servers that share this knowledge
+            "among": Option(parsers.one_of("all", "site"), "all"),
             "aim": Option(parsers.positive_duration, required=True),
             "deadline": Option(parsers.positive_duration, required=True),
             "worth": Option(parsers.number, 1.0),
@@ -156,7 +157,7 @@
     "most-retry-after": Directive(
         (parsers.positive_duration,), timedelta(seconds=1), "longest Retry-After", set_by_platform=True
     ),
-    # --- stock nodes
+    # --- servers
     "connect-timeout": Directive(
         (parsers.positive_duration,), ms(250), "for a connection to a stock node", set_by_platform=True
     ),
@@ -186,7 +187,7 @@
         (parsers.number,), 2.5, "overfed: so many times what it can do", set_by_platform=True
     ),
     "probes": Directive((parsers.switch,), True, "whether stock nodes may be probed", set_by_platform=True),
-    # --- the other ingresses
+    # --- peers
     "zone-leave": Directive(
         (parsers.one_of("off", "watch", "on"),),
         "off",
@@ -207,7 +208,7 @@
         (parsers.count, parsers.address), description="another ingress, by its number", repeatable=True
     ),
     "peer-secret": Directive((parsers.name,), description="seals the datagrams; the same at every ingress"),
-    # --- bounds
+    # --- limits
     "sockets": Directive(
         (parsers.positive_count,),
         1024,
--- a/opalgauge/lifecycle/imports.py
+++ b/opalgauge/lifecycle/imports.py
@@ -1,7 +1,8 @@
-"""Loading the program with less: what a start spends on things that serving never uses.
+"""Skips work at import time whose results serving never uses.
 
-A start costs about half a second of CPU, nearly all of it imports, and a fleet that is killed at once pays it
-for each ingress while nobody serves. This module loads nothing but the standard library's smallest parts.
+A start takes about 0.5 s of CPU, nearly all of it for imports. When a whole fleet is killed, every ingress
+spends it before any of them serves again. This module itself imports only small parts of the standard
+library.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 @contextlib.contextmanager
 def fast_imports() -> Iterator[None]:
-    """For the time of the imports: no certificates are read and no garbage is looked for.
+    """Context in which imports read no certificates and the garbage collector is off.
 
-    aiohttp's client reads all certificates of the machine when it is imported, a fifth of a start, and every
-    connection of an ingress is plain TCP. Modules being loaded leave next to no garbage, and looking for it
-    costs a tenth. Both are as before afterwards.
+    aiohttp's client loads all certificates of the machine when it is imported, which takes a fifth of a
+    start; every connection of an ingress is plain TCP. Garbage collection takes a tenth, and imports leave
+    hardly any garbage. The environment and the collector are restored afterwards.
     """
     previous = {name: os.environ.get(name) for name in NO_CERTIFICATES}
     gc_was_enabled = gc.isenabled()
--- a/opalgauge/lifecycle/logs.py
+++ b/opalgauge/lifecycle/logs.py
@@ -1,7 +1,7 @@
-"""Log lines: plain ones for the platform, structlog's where settings of our own are used.
+"""Log lines on stderr: plain ones for the platform, structlog's with a settings file.
 
-A line's first words name its subject (`ready:`, `reload:`, `worker:` …) as docs/on-call.md lists them.
-Nothing is written for single requests.
+A line starts with its subject (`ready:`, `reload:`, `worker:` …); docs/on-call.md lists them. Single requests
+are not logged.
 """
 
 from __future__ import annotations
@@ -15,13 +15,18 @@
 
 
 def log_plain(text: str) -> None:
-    # Guards serving against a log that cannot be written for now: its disk is full, or its reader has gone.
+    """Writes a plain line to stderr."""
+    # A log that cannot be written (disk full, or its reader has gone) must not stop service.
     with contextlib.suppress(OSError, ValueError):
         print(f"opalgauge: {text}", file=sys.stderr, flush=True)
 
 
 def make_log(log_format: str, **context: Any) -> Log:
-    """A log of the given form: plain, text (key=value behind the line) or json; `always`: on each."""
+    """Returns a log function of the given format.
+
+    `form` is plain, text (the line, then key=value pairs) or json. The `context` values are added to each
+    line that is not plain.
+    """
     if log_format == "plain":
         return log_plain
     import structlog
@@ -44,7 +49,7 @@
 
 
 def _render_key_value(_: Any, __: str, event_dict: dict[str, Any]) -> str:
-    """`opalgauge: LINE key=value …`, recognisable beside the plain form."""
+    """Renders `opalgauge: LINE key=value …`, which starts like a plain line."""
     import structlog
 
     line = event_dict.pop("event")
--- a/opalgauge/lifecycle/native.py
+++ b/opalgauge/lifecycle/native.py
@@ -1,8 +1,8 @@
-"""Compiled modules in place of the plain ones, where there is a build of exactly these sources.
+"""Imports compiled modules instead of the plain ones if there is a build of exactly these sources.
 
-A build lies in `.native/DIGEST/`, made by `python -m opalgauge.nativebuild`. The digest is over the sources'
-bytes, the interpreter and the machine, so a build of other sources is never found, whatever its age. Without
-one the same modules run as plain Python.
+`python -m opalgauge.nativebuild` writes a build to `.native/DIGEST/`. The digest covers the sources, the
+interpreter and the platform, so that a build of other sources is never used, whatever its age. Without a
+build, the same modules run as plain Python.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     "starlinggap": ("interface", "quota", "slow_start", "brain", "snapshot"),
     "opalgauge.memory": ("events", "effects", "drain", "state", "reducer"),
 }
-DISABLE_VARIABLE = "OPALGAUGE_PLAIN"  # set to anything: the plain modules run
+DISABLE_VARIABLE = "OPALGAUGE_PLAIN"  # environment variable; if set, the plain modules are used
 
 
 def source_files() -> list[Path]:
-    """The compiled modules' files, in the order in which they depend on each other."""
+    """Returns the source files of the compiled modules, dependencies first."""
     return [
         ROOT / package.replace(".", "/") / f"{name}.py"
         for package, names in COMPILED.items()
@@ -35,6 +35,7 @@
 
 
 def source_digest() -> str:
+    """Returns the digest of the sources, the interpreter and the platform."""
     sources_hash = hashlib.sha256(f"{sys.version}|{sysconfig.get_platform()}".encode())
     for path in source_files():
         sources_hash.update(path.read_bytes())
@@ -42,11 +43,12 @@
 
 
 def build_folder() -> Path:
+    """Returns the folder of the build of these sources, which need not exist."""
     return ROOT / ".native" / source_digest()
 
 
 class CompiledModuleFinder:
-    """Finds the modules of one build by their full names."""
+    """A meta path finder for the modules of one build."""
 
     def __init__(self, build: Path) -> None:
         suffix = sysconfig.get_config_var("EXT_SUFFIX")
@@ -58,12 +60,16 @@
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
+        """Returns the spec of a compiled module by its full name, or None."""
         file = self.files.get(name)
         return None if file is None else spec_from_file_location(name, file)
 
 
 def use_compiled_modules() -> bool:
-    """Puts the compiled modules before the plain ones; to be called before either is imported."""
+    """Makes imports prefer the compiled modules. Returns whether there is a build.
+
+    Must be called before any of the modules is imported.
+    """
     if DISABLE_VARIABLE in os.environ:
         return False
     try:
--- a/opalgauge/lifecycle/parsers.py
+++ b/opalgauge/lifecycle/parsers.py
@@ -1,6 +1,6 @@
-"""How single words of a settings file are read: durations, sizes, rates, addresses.
+"""Parsers for single words of the settings file: numbers, durations, sizes, rates, addresses.
 
-Each reader takes the word and gives the value, or raises ValueError with what would be right.
+A parser returns the value of a word, or raises ValueError with a description of what it accepts.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 def number(word: str) -> float:
-    """A plain decimal, 0 or more."""
+    """Parses a decimal number, 0 or more."""
     if not NUMBER_PATTERN.fullmatch(word):
         raise ValueError("a plain number, such as 2 or 0.55")
     return float(word)
 
 
 def share(word: str) -> float:
-    """A part of 1, above 0."""
+    """Parses a share: above 0, and 1 at most."""
     value = number(word)
     if not 0 < value <= 1:
         raise ValueError("a share above 0 and up to 1, such as 0.15")
@@ -36,12 +36,14 @@
 
 
 def count(word: str) -> int:
+    """Parses a whole number, 0 or more."""
     if not word.isascii() or not word.isdigit() or int(word) > MAX_COUNT:
         raise ValueError("a whole number, such as 4")
     return int(word)
 
 
 def positive_count(word: str) -> int:
+    """Parses a whole number, 1 or more."""
     value = count(word)
     if value < 1:
         raise ValueError("a whole number of 1 or more")
@@ -49,7 +51,7 @@
 
 
 def duration(word: str) -> timedelta:
-    """A duration with its unit."""
+    """Parses a duration with its unit, 0 or more."""
     match = re.fullmatch(rf"({NUMBER_PATTERN.pattern})(us|ms|s|m|h|d)", word)
     if not match:
         raise ValueError("a duration with its unit (us, ms, s, m, h, d), such as 250ms")
@@ -57,6 +59,7 @@
 
 
 def positive_duration(word: str) -> timedelta:
+    """Parses a duration above 0 with its unit."""
     value = duration(word)
     if not value:
         raise ValueError("a duration above 0, such as 250ms")
@@ -64,7 +67,7 @@
 
 
 def size(word: str) -> int:
-    """Bytes, with k, M or G for powers of 1024."""
+    """Parses a size in bytes; k, M and G stand for powers of 1024."""
     match = re.fullmatch(r"([0-9]{1,9})([kMG]?)", word)
     if not match:
         raise ValueError("a size in bytes, or with k, M or G, such as 64k")
@@ -72,11 +75,11 @@
 
 
 class Rate(float):
-    """Units a second."""
+    """Units per second."""
 
 
 def rate(word: str) -> Rate:
-    """Units a second, written with the time they are for."""
+    """Parses units for a period, such as 90/m, into units per second."""
     match = re.fullmatch(rf"({NUMBER_PATTERN.pattern})/([smh])", word)
     if not match:
         raise ValueError("units for a time (s, m, h), such as 2.5/s or 90/m")
@@ -84,13 +87,14 @@
 
 
 def switch(word: str) -> bool:
+    """Parses on or off."""
     if word not in ("on", "off"):
         raise ValueError("on or off")
     return word == "on"
 
 
 def address(word: str) -> str:
-    """`HOST:PORT` with an IP address, kept as it was written: names are not looked up."""
+    """Checks `HOST:PORT` with an IP address and returns it unchanged. Host names are not resolved."""
     host, _, port = word.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -102,24 +106,29 @@
 
 
 def name(word: str) -> str:
+    """Checks a name of ASCII letters, digits, dots, underscores and dashes."""
     if not NAME_PATTERN.fullmatch(word):
-        raise ValueError("a name of letters, digits, dots, lines and dashes, 63 at most")
+        raise ValueError("a name of letters, digits, dots, underscores and dashes, 63 at most")
     return word
 
 
 def seed(word: str) -> str:
+    """Checks a seed of hexadecimal digits, 64 bits at most."""
     if not re.fullmatch(r"[0-9a-fA-F]{1,16}", word):
         raise ValueError("1 to 16 hexadecimal digits")
     return word
 
 
 def path(word: str) -> str:
+    """Checks a file path."""
     if not word or "\0" in word:
         raise ValueError("a file's path")
     return word
 
 
 def one_of(*choices: str) -> Callable[[str], str]:
+    """Returns a parser that accepts one of the given words."""
+
     def parse(word: str) -> str:
         if word not in choices:
             raise ValueError("one of " + ", ".join(choices))
@@ -129,7 +138,7 @@
 
 
 def format_value(value: Any) -> str:
-    """A value as a settings file words it."""
+    """Formats a value the way the settings file writes it."""
     if isinstance(value, bool):
         return "on" if value else "off"
     if isinstance(value, timedelta):
--- a/opalgauge/lifecycle/reload.py
+++ b/opalgauge/lifecycle/reload.py
@@ -1,6 +1,6 @@
-"""What a process does with its settings while it serves, and how long it stays for its last answers.
+"""Reloading settings while serving, and the delay before exit.
 
-Shared by an ingress of one process, a guardian and its workers, none of which needs to know the others.
+Shared by an ingress of one process, a supervisor and its workers.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from opalgauge.memory.events import AddressesChanged, Event, ServersConfigured
 
 RELOAD_TRIES, RELOAD_PAUSE = 5, timedelta(milliseconds=100)
-EXIT_DELAY = timedelta(milliseconds=50)  # for the last answers to leave
+EXIT_DELAY = timedelta(milliseconds=50)  # lets the last answers leave before the process exits
 
 
 def reload_settings(
     source: SettingsSource, apply: Callable[[SettingsReading], None], log: Log, tries: int = RELOAD_TRIES
 ) -> None:
-    """Reads the settings again and hands them on where they hold as a whole; else all goes on as before."""
+    """Reads the settings again and applies them if they are valid; otherwise logs why and changes nothing."""
     try:
         reading = source.read()
     except ConfigError as error:
-        # Guards against a file that is just being replaced, and against one that is no good at all.
+        # Retried, because the file may be in the middle of being replaced.
         if tries > 1:
             pause = RELOAD_PAUSE.total_seconds()
             asyncio.get_running_loop().call_later(pause, reload_settings, source, apply, log, tries - 1)
@@ -36,7 +36,7 @@
 
 
 def report_addresses(report: Callable[[Event], None], config: Config) -> None:
-    """What a new configuration changes in service: the other parties' addresses."""
+    """Reports the addresses of a new configuration, the only part of it that changes while serving."""
     ingress = config.ingress
     report(AddressesChanged(ingress.counter_address, ingress.server_list_address))
     if not ingress.server_list_address:
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -1,4 +1,4 @@
-"""One ingress from start to exit."""
+"""Runs one ingress in a single process, from start to exit."""
 
 from __future__ import annotations
 
@@ -29,30 +29,33 @@
     from opalgauge.handover.link import Link
     from opalgauge.wire.peers import Peers
 
-MIN_CLOCK_STEP = timedelta(milliseconds=250)  # two starts read the same wall clock closer than that
-BAN_POLL_INTERVAL = timedelta(milliseconds=250)  # what one process was told holds at the other within 1 s
+MIN_CLOCK_STEP = timedelta(milliseconds=250)  # processes that share an unstepped wall clock differ by less
+BAN_POLL_INTERVAL = timedelta(milliseconds=250)  # a ban has to reach the other process within 1 s
 
 
 class PeerService(Protocol):
-    """One that speaks with the other ingresses."""
+    """A part of the ingress that exchanges datagrams with the peers."""
 
-    def start(self) -> None: ...
+    def start(self) -> None:
+        """Starts to exchange messages. The datagram socket is open by then."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stops to exchange messages."""
 
-    def figures(self) -> list[str]: ...
+    def figures(self) -> list[str]:
+        """Returns the statistics lines for the admin endpoint."""
 
 
 def poll_ban_file(
     loop: asyncio.AbstractEventLoop, ban_file: BanFile, report: Callable[[Event], None]
 ) -> None:
-    """Looks now and then at what staff told this ingress's other process."""
+    """Polls the ban file from now on, for bans that were set at the other process of this ingress."""
     ban_file.poll(report)
     loop.call_later(BAN_POLL_INTERVAL.total_seconds(), poll_ban_file, loop, ban_file, report)
 
 
 class PeerServices:
-    """What joins this ingress with the others: one datagram address, and the parts that speak over it."""
+    """The datagram socket to the peers, and the services that communicate over it."""
 
     def __init__(
         self,
@@ -63,7 +66,7 @@
         self.transport, self.services, self.wait_until_ready = transport, services, wait_until_ready
 
     async def start(self, listen: tuple[str, int]) -> None:
-        """Until this ingress knows what it needs of the others before it serves."""
+        """Opens the socket and starts the services. Returns when they are ready for serving to begin."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self.transport, local_addr=listen)
         for service in self.services:
@@ -72,12 +75,13 @@
             await self.wait_until_ready()
 
     def close(self) -> None:
+        """Closes the services and the socket."""
         for service in self.services:
             service.close()
         self.transport.close()
 
     def figures(self) -> list[str]:
-        """Lines for the admin endpoint."""
+        """Returns the statistics lines of all services for the admin endpoint."""
         lines = [line for service in self.services for line in service.figures()]
         return [
             *lines,
@@ -89,7 +93,10 @@
 def build_peer_services(
     config: Config, peering: Peering, exchange: Exchange, clock: Clock, log: Log
 ) -> PeerServices:
-    """Puts the parts that need the other ingresses beside the reducer. None is loaded where it is off."""
+    """Creates the configured peer services and routes the reducer's effects to them.
+
+    The modules of a service that is off are not imported.
+    """
     from opalgauge.wire.peers import Peers
 
     settings, seed = config.ingress.settings, config.ingress.seed
@@ -161,12 +168,12 @@
 
 
 async def connect_to_old_process(config: Config, exchange: Exchange, clock: Clock, log: Log) -> Link:
-    """The link to this ingress's other process, which has handed over what it knows, if there is one.
+    """Opens the link to the other process of this ingress and takes over its snapshot, if there is one.
 
-    Called before anything is decided: where the wall clock was stepped since the old process started, the new
-    one goes on by the old one's time, which the other ingresses share and all that is handed over is told in.
+    Must be called before the first decision. If the wall clock was stepped after the old process started, the
+    new process adopts the old one's clock: the peers share it, and the times in the snapshot refer to it.
     """
-    from opalgauge.handover.link import Link  # not loaded where no other process can be
+    from opalgauge.handover.link import Link  # not imported if there can be no other process
     from opalgauge.handover.record import Identity, Moment
 
     reducer = exchange.reducer
@@ -185,7 +192,10 @@
 
 
 def persist_and_share(link: Link, ban_file: BanFile | None) -> Callable[[effects.PersistBans], None]:
-    """What staff say goes to the other process as well: guards a ban that cannot be written for now."""
+    """Returns a handler that writes bans to the file and sends them to the other process.
+
+    The second way keeps a ban that cannot be written at the moment.
+    """
 
     def persist(effect: effects.PersistBans) -> None:
         if ban_file is not None:
@@ -196,6 +206,10 @@
 
 
 async def serve(config: Config, source: SettingsSource, log: Log = log_plain) -> None:
+    """Serves until the drain after SIGTERM or SIGINT is over.
+
+    Raises OSError if an address is not available.
+    """
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     clock = Clock()
@@ -203,13 +217,13 @@
     ready = draining = False
     link: Link | None = None
     clients = exchange.clients = Clients(config.trade, exchange.report, lambda: not draining)
-    shared = config.listen_fd is not None  # another process may listen on it too
+    shared = config.listen_fd is not None  # another process may accept from the same socket
 
     def drain() -> None:
         nonlocal draining
         if not draining:
             draining = clients.last = True
-            # A descriptor that others could listen on is no proof that one does.
+            # An inherited socket alone does not prove that another process accepts from it.
             exchange.report(
                 DrainRequested(has_successor=shared and exchange.reducer.is_other_process_accepting())
             )
@@ -217,7 +231,7 @@
                 link.tell_serving(False)
 
     def reload() -> None:
-        """The addresses of the other parties may change in service, nothing else does."""
+        """Applies new addresses of the counter, discovery and servers; nothing else changes while serving."""
 
         def apply(reading: SettingsReading) -> None:
             report_addresses(exchange.report, make_config(reading.platform_config, reading.environ))
@@ -226,7 +240,7 @@
 
         reload_settings(source, apply, log)
 
-    # Whatever escapes on a connection ends there, and is told in one line.
+    # An unhandled exception on a connection ends that connection and is logged in one line.
     loop.set_exception_handler(
         lambda _, context: exchange.fault(f"{context.get('message')}: {context.get('exception')!r}")
     )
@@ -263,7 +277,7 @@
             poll_ban_file(loop, ban_file, exchange.report)
         if peer_services is not None and config.peering is not None:
             await peer_services.start(config.peering.listen)
-        if not draining:  # guards clients against one that was asked to stop while it started
+        if not draining:  # a process that was stopped while starting must not accept clients
             await clients.listen(*config.listen, config.listen_fd)
             ready = True
             if link is not None:
@@ -275,7 +289,7 @@
             )
         await stopped.wait()
         if exchange.reducer.state.streams or exchange.reducer.state.requests:
-            exchange.recorder.write(config.state_folder, config.name, log)  # it leaves, and owes something
+            exchange.recorder.write(config.state_folder, config.name, log)  # unanswered requests at exit
         await asyncio.sleep(EXIT_DELAY.total_seconds())
         if link is not None:
             link.close()
@@ -286,7 +300,7 @@
 
 
 def main(source: SettingsSource | None = None) -> int:
-    """Serves until asked to stop; 0 after a drain, 2 where a start cannot work."""
+    """Runs an ingress; returns exit status 0 after a drain, 2 if it cannot start."""
     log: Log = log_plain
     try:
         source = source or PlatformSource()
@@ -294,7 +308,7 @@
         config = make_config(reading.platform_config, reading.environ)
         log = make_log(reading.log_format, ingress=config.name)
         if reading.workers > 1:
-            from opalgauge.cores import supervisor  # not loaded where one core serves
+            from opalgauge.cores import supervisor  # not imported if there is one worker
 
             return supervisor.run(reading, source, log)
         uvloop.run(serve(config, source, log))
--- a/opalgauge/lifecycle/settings_file.py
+++ b/opalgauge/lifecycle/settings_file.py
@@ -1,10 +1,10 @@
-"""Our own settings file: one directive a line, in the manner of classic daemons.
+"""Parses and checks the settings file, which has one directive per line.
 
     directive value … key=value …     # a comment
 
-`include FILE` reads another file in its place (relative to the file that names it). The file is checked as a
-whole: every mistake is told, with file, line, the word and what would be right. `opalgauge check FILE` prints
-what would hold. Nothing here opens a file but through the `read` that it is given.
+`include FILE` reads another file in place; its path is relative to the including file. The file is checked as
+a whole: every error is reported with file, line, the word and what is expected. `opalgauge check FILE` prints
+the effective settings. Files are opened only through the function that `parse` is given.
 """
 
 from __future__ import annotations
@@ -21,12 +21,15 @@
 from opalgauge.lifecycle.directives import DIRECTIVES, Directive
 from opalgauge.lifecycle.parsers import format_value
 
-MAX_INCLUDE_DEPTH = 8  # includes in includes
-MAX_REPORTED_ERRORS = 20  # told at once
+MAX_INCLUDE_DEPTH = 8  # nested includes
+MAX_REPORTED_ERRORS = 20  # errors reported at once
 
 
 class SettingsFileError(Exception):
-    """The file cannot be used. `mistakes`: one line each, `FILE:LINE: what is wrong; what is right`."""
+    """The file cannot be used.
+
+    `errors` holds lines of the form `FILE:LINE: what is wrong; what is expected`.
+    """
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors[:3]) + ("; …" if len(errors) > 3 else ""))
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One directive as it stood: its plain words and its options, read."""
+    """One occurrence of a directive, with its parsed arguments and options."""
 
     location: str
     arguments: tuple[Any, ...]
@@ -44,23 +47,24 @@
 
 @dataclass(slots=True)
 class DaemonSettings:
-    """A checked settings file; `rows` holds what stood in it, by directive."""
+    """A checked settings file: the statements that it contains, by directive."""
 
     path: str
     statements: dict[str, list[Statement]] = field(default_factory=dict)
 
     def get(self, name: str) -> Any:
-        """The value of a directive that takes one word, or its default."""
+        """Returns the value of a directive of one argument, or its default; of a variadic one, the list."""
         statements = self.statements.get(name)
         if DIRECTIVES[name].variadic:
             return list(statements[0].arguments) if statements else DIRECTIVES[name].default
         return statements[0].arguments[0] if statements else DIRECTIVES[name].default
 
     def get_all(self, name: str) -> list[Statement]:
+        """Returns all statements of a repeatable directive."""
         return self.statements.get(name, [])
 
     def by_directive(self) -> dict[str, Any]:
-        """What holds, directive by directive, for comparing two readings."""
+        """Returns the values of every directive, for comparing two readings."""
         return {
             name: [(r.arguments, r.options) for r in self.statements[name]]
             if name in self.statements
@@ -82,7 +86,7 @@
 
     def parse_file(self, path: Path, depth: int, included_at: str) -> None:
         if depth > MAX_INCLUDE_DEPTH:
-            # Guards against files that include each other without end.
+            # Files that include each other would otherwise be read without end.
             self.errors.append(f"{included_at}: {path} is included more than {MAX_INCLUDE_DEPTH} deep")
             return
         try:
@@ -120,7 +124,7 @@
             return
         if self.statements.get(name) and not directive.repeatable:
             self.errors.append(
-                f"{location}: {name} stands already at {self.statements[name][0].location}; keep one"
+                f"{location}: {name} is already set at {self.statements[name][0].location}; keep one"
             )
             return
         self.statements.setdefault(name, []).append(statement)
@@ -146,14 +150,14 @@
             if key not in directive.options:
                 self.errors.append(f"{location}: {name} has no {key!r}{_suggestion(key, directive.options)}")
             elif key in options:
-                self.errors.append(f"{location}: {name} says {key} twice; keep one")
+                self.errors.append(f"{location}: {name} sets {key} twice; keep one")
             else:
                 options[key] = self.parse_value(
                     location, f"{name} {key}", directive.options[key].parse, value
                 )
         for key, option in directive.options.items():
             if option.required and key not in options:
-                self.errors.append(f"{location}: {name} {argument_words[0]} lacks {key}=…")
+                self.errors.append(f"{location}: {name} {argument_words[0]} requires {key}=…")
             options.setdefault(key, option.default)
         return Statement(location, tuple(values), options) if len(self.errors) == errors_before else None
 
@@ -166,7 +170,7 @@
 
 
 def parse(path: Path, read_text: Callable[[Path], str] = lambda p: p.read_text("utf-8")) -> DaemonSettings:
-    """Reads and checks a settings file as a whole. Raises SettingsFileError with every mistake found."""
+    """Reads and checks a settings file as a whole. Raises SettingsFileError with all errors found."""
     file_parser = _FileParser(read_text)
     file_parser.parse_file(path, 0, "settings")
     settings = DaemonSettings(str(path), file_parser.statements)
@@ -177,12 +181,12 @@
 
 
 def _consistency_errors(settings: DaemonSettings) -> Iterator[str]:
-    """What is wrong between lines that are each well-formed."""
+    """Yields the errors between statements that are each well-formed."""
     platform = settings.statements.get("platform")
     for name, statements in settings.statements.items():
         if platform and DIRECTIVES[name].set_by_platform:
             yield (
-                f"{statements[0].location}: {name} is told by the platform line, "
+                f"{statements[0].location}: {name} is set by the platform file, "
                 f"{platform[0].location}; leave one out"
             )
         if DIRECTIVES[name].repeatable:
@@ -190,7 +194,7 @@
             for statement in statements:
                 if statement.arguments[0] in seen:
                     yield (
-                        f"{statement.location}: {name} {statement.arguments[0]} stands already at "
+                        f"{statement.location}: {name} {statement.arguments[0]} is already set at "
                         f"{seen[statement.arguments[0]]}"
                     )
                 seen.setdefault(statement.arguments[0], statement.location)
@@ -210,7 +214,7 @@
             "there is nothing to lease"
         )
     if any(peer_features.values()) and settings.get_all("peer") and not settings.get("peer-listen"):
-        yield f"{_location_of(settings, 'peer')}: peers without peer-listen; one of them is missing"
+        yield f"{_location_of(settings, 'peer')}: peers require peer-listen"
     if platform:
         return
     for statement in settings.get_all("peer"):
@@ -218,34 +222,33 @@
             "number"
         ):
             yield (
-                f"{statement.location}: peer {statement.arguments[0]} is no other one of "
+                f"{statement.location}: peer {statement.arguments[0]} is not another one of "
                 f"{settings.get('ingresses')} ingresses"
             )
     for name in ("listen", "kind", "tariff"):
         if name not in settings.statements:
-            yield f"{settings.path}: {name} is missing; without a platform line it has to be said"
+            yield f"{settings.path}: {name} is missing; it is required without a platform line"
     if "node-list" not in settings.statements and "stock-node" not in settings.statements:
         yield f"{settings.path}: no stock-node and no node-list; one of them is needed"
     if settings.get("number") >= settings.get("ingresses"):
         yield (
-            f"{_location_of(settings, 'number')}: number {settings.get('number')} is none "
-            f"of {settings.get('ingresses')} ingresses"
+            f"{_location_of(settings, 'number')}: number {settings.get('number')} "
+            f"must be below ingresses, {settings.get('ingresses')}"
         )
     if "counter" not in settings.statements and settings.get("ingresses") > 1:
         yield (
-            f"{_location_of(settings, 'ingresses')}: more than one ingress needs a "
-            "counter to keep quotas together"
+            f"{_location_of(settings, 'ingresses')}: more than one ingress needs a counter to share quotas"
         )
     sites = settings.get("sites")
     for statement in settings.get_all("stock-node"):
         if statement.options["site"] and statement.options["site"] not in sites:
             yield (
-                f"{statement.location}: site {statement.options['site']} is none of sites "
+                f"{statement.location}: site {statement.options['site']} is not one of sites "
                 f"({', '.join(sites)})"
             )
     if settings.get("site") is not None and settings.get("site") not in sites:
         yield (
-            f"{_location_of(settings, 'site')}: site {settings.get('site')} is none of "
+            f"{_location_of(settings, 'site')}: site {settings.get('site')} is not one of "
             f"sites ({', '.join(sites)})"
         )
     for statement in settings.get_all("kind"):
@@ -266,14 +269,14 @@
         if 0 < options["ceiling-burst"] < options["burst"]:
             yield f"{statement.location}: tariff {statement.arguments[0]}: ceiling-burst is below burst"
     if settings.get("sockets") < 64 * settings.get("workers"):
-        yield f"{_location_of(settings, 'sockets')}: sockets has to be 64 or more for each worker"
+        yield f"{_location_of(settings, 'sockets')}: sockets must be 64 or more per worker"
 
 
 def _location_of(settings: DaemonSettings, name: str) -> str:
     return settings.statements[name][0].location if name in settings.statements else settings.path
 
 
-# The platform's words for the repeat rules of the settings file.
+# The platform's names for the `repeat` values of the settings file.
 PLATFORM_EFFECTS = {"safe": "retryable", "keyed": "dedup", "never": "fragile"}
 
 
@@ -282,7 +285,7 @@
 
 
 def to_platform_config(settings: DaemonSettings) -> dict[str, Any]:
-    """The settings as the platform would word them, for `lifecycle.config.make_config`."""
+    """Converts the settings to the form of the platform's document, for `lifecycle.config.make_config`."""
     sites = settings.get("sites")
     hosts = [
         {
@@ -369,7 +372,7 @@
 
 
 def to_peering_config(settings: DaemonSettings) -> dict[str, Any] | None:
-    """What joins this ingress with the others, or None where it is off."""
+    """Returns the peering section for `lifecycle.config.make_config`, or None if no peer feature is on."""
     if (
         settings.get("zone-leave") == "off"
         and settings.get("leases") == "off"
@@ -390,7 +393,7 @@
 
 
 def changed_directives(old: DaemonSettings, new: DaemonSettings) -> tuple[list[str], list[str]]:
-    """The directives whose value differs: those that hold at once, and those that need a restart."""
+    """Returns the directives whose values differ: those that apply at once, and those that need a restart."""
     before, after = old.by_directive(), new.by_directive()
     differ = [name for name in DIRECTIVES if before[name] != after[name]]
     return [n for n in differ if DIRECTIVES[n].reloadable], [
@@ -399,7 +402,7 @@
 
 
 def effective_lines(settings: DaemonSettings) -> Iterator[str]:
-    """What would hold, one directive a line; what was not said stands with its default."""
+    """Yields the effective settings, one directive per line; unset ones with their default."""
     for name, directive in DIRECTIVES.items():
         statements = settings.statements.get(name)
         if statements:
--- a/opalgauge/lifecycle/sources.py
+++ b/opalgauge/lifecycle/sources.py
@@ -1,4 +1,4 @@
-"""Where a run's settings come from, the platform's file or our own, and what a reading changed."""
+"""Sources of settings: the platform's JSON file or the settings file; and what a reload changes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsReading:
-    """One reading of the settings, checked. `told`: in the platform's words; the rest is the daemon's own."""
+    """The settings as read once, and checked.
+
+    `platform_config` has the form of the platform's JSON document; the rest is not part of that document.
+    """
 
     platform_config: dict[str, Any]
     workers: int = 1
@@ -23,29 +26,32 @@
     restart_pause: timedelta = timedelta(milliseconds=250)
     max_restart_pause: timedelta = timedelta(seconds=15)
     log_format: str = "plain"
-    change_summary: str = ""  # against the reading before, for the log
+    change_summary: str = ""  # since the previous reading, for the log
     environ: Mapping[str, str] = field(default_factory=dict)
 
 
 class SettingsSource(Protocol):
+    """A source that settings can be read from again and again."""
+
     def read(self) -> SettingsReading:
-        """Reads and checks everything again. Raises ConfigError, and then nothing has changed."""
+        """Reads and checks all settings. Raises ConfigError, after which the source is unchanged."""
 
 
 class PlatformSource:
-    """What the platform says in its environment and its JSON file."""
+    """The environment and the JSON document that the platform provides."""
 
     def __init__(self, environ: Mapping[str, str] = os.environ) -> None:
         self.environ = environ
 
     def read(self) -> SettingsReading:
+        """See `SettingsSource.read`."""
         platform_config = read_platform_config(self.environ)
         make_config(platform_config, self.environ)
         return SettingsReading(platform_config, environ=self.environ)
 
 
 class FileSource:
-    """Our own settings file, with or without the platform's beside it."""
+    """The settings file, which may refer to the platform's JSON document."""
 
     def __init__(self, path: str) -> None:
         from opalgauge.lifecycle.settings_file import DaemonSettings
@@ -55,6 +61,7 @@
         self.seed: str | None = None
 
     def read(self) -> SettingsReading:
+        """See `SettingsSource.read`."""
         from opalgauge.lifecycle import settings_file
 
         try:
@@ -63,7 +70,7 @@
             raise ConfigError(f"settings cannot be used: {error}") from None
         environ: Mapping[str, str] = {}
         if platform := new.get("platform"):
-            # The environment's address counts beside the platform's own file only.
+            # Variables of the environment apply only together with the platform's document.
             environ = {**os.environ, "BALANCER_CONFIG": str(self.path.parent / platform)}
             platform_config = read_platform_config(environ)
         else:
@@ -71,7 +78,7 @@
             if new.get("seed") is None:
                 self.seed = platform_config["seed"] = (
                     self.seed or platform_config["seed"]
-                )  # drawn once a life
+                )  # drawn once per process
         platform_config["peering"] = settings_file.to_peering_config(new)
         make_config(platform_config, environ)
         change_summary = ""
@@ -88,5 +95,5 @@
 
 
 def platform_config_json(reading: SettingsReading) -> str:
-    """A reading's settings as one JSON line, for a worker."""
+    """Returns the platform document as one line of JSON, for a worker."""
     return json.dumps(reading.platform_config)
--- a/opalgauge/nativebuild.py
+++ b/opalgauge/nativebuild.py
@@ -1,7 +1,8 @@
-"""`python -m opalgauge.nativebuild`: compiles the decisions and the reducer with mypyc, if it can.
+"""`python -m opalgauge.nativebuild`: compiles the decision modules and the reducer with mypyc, if possible.
 
-It copies the sources aside, compiles them there, and puts the result in place as a whole. Where mypyc or a C
-compiler is missing it says so in one line; the program then runs as plain Python. Exit status 0 either way.
+The sources are copied to a temporary folder and compiled there; the result is moved into place atomically. If
+mypyc or a C compiler is missing, one line says so and the program runs as plain Python. The exit status is 0
+in both cases.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 from setuptools import setup
 setup(name="opalgauge-native", packages=[], ext_modules=mypycify({files!r}, opt_level="3", debug_level="0"))
 """
-BUILD_TIMEOUT = 900  # s
+BUILD_TIMEOUT = 900  # s, for the compiler run
 
 
 def build() -> str:
-    """Makes the build of the present sources, unless it stands; gives what to say."""
+    """Builds the current sources unless a build of them exists. Returns one line that tells the outcome."""
     target = build_folder()
     if (target / "whole").exists():
         return f"native: {target.name} stands already"
@@ -72,7 +73,7 @@
         try:
             staging.rename(target)
         except OSError:
-            shutil.rmtree(staging)  # another build was quicker
+            shutil.rmtree(staging)  # a concurrent build finished first
         for other in target.parent.iterdir():
             if other != target and other.is_dir():
                 shutil.rmtree(other, ignore_errors=True)
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -60,22 +60,22 @@
     "a name for an address": ("counter redis:6379", "main.conf:1: counter: 'redis:6379' cannot be used"),
     "too many words": ("name a b", "main.conf:1: name takes 1 word(s), not 2"),
     "no word": ("name", "main.conf:1: name takes 1 word(s), not 0"),
-    "said twice": ("name a\nname b", "main.conf:2: name stands already at main.conf:1; keep one"),
+    "said twice": ("name a\nname b", "main.conf:2: name is already set at main.conf:1; keep one"),
     "an open quote": ('name "a', "main.conf:1: no closing quotation; quotes come in pairs"),
     "an unknown option": (
         "tariff t rate=1/s burst=3 prize=2",
         "main.conf:1: tariff has no 'prize'; did you mean price?",
     ),
-    "an option that is missing": ("tariff t rate=1/s", "main.conf:1: tariff t lacks burst=…"),
+    "an option that is missing": ("tariff t rate=1/s", "main.conf:1: tariff t requires burst=…"),
     "an include that is missing": ("include other.conf", "main.conf:1: other.conf cannot be read"),
     "an include of itself": ("include main.conf", "main.conf:1: main.conf is included more than 8 deep"),
     "two nodes of a name": (
         VALID_FILE + "stock-node s-1 127.0.0.1:7002",
-        "main.conf:7: stock-node s-1 stands already at main.conf:3",
+        "main.conf:7: stock-node s-1 is already set at main.conf:3",
     ),
     "a site that is none": (
         VALID_FILE + "stock-node s-2 127.0.0.1:7002 site=bat-c",
-        "main.conf:7: site bat-c is none of sites (main)",
+        "main.conf:7: site bat-c is not one of sites (main)",
     ),
     "nothing": ("", "main.conf: listen is missing"),
     "many ingresses alone": (
@@ -97,15 +97,15 @@
     "leases of nothing": (VALID_FILE + "leases on", "main.conf:7: leases need a counter"),
     "peers that cannot answer": (
         VALID_FILE + "zone-leave on\npeer 1 127.0.0.1:7100",
-        "main.conf:8: peers without peer-listen",
+        "main.conf:8: peers require peer-listen",
     ),
     "itself as a peer": (
         VALID_FILE + "counter 127.0.0.1:1\ningresses 3\npeer 0 127.0.0.1:7100",
-        "main.conf:9: peer 0 is no other one of 3 ingresses",
+        "main.conf:9: peer 0 is not another one of 3 ingresses",
     ),
     "trade beside the platform": (
         "platform p.json\ncounter 127.0.0.1:1",
-        "main.conf:2: counter is told by the platform line",
+        "main.conf:2: counter is set by the platform file",
     ),
 }
 
