--- a/opalgauge/cli/__init__.py
+++ b/opalgauge/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line `opalgauge`. `python -m opalgauge` without arguments serves and loads none of this."""
+"""The command line `opalgauge`. `python -m opalgauge` serves without importing any of it."""
--- a/opalgauge/cli/check.py
+++ b/opalgauge/cli/check.py
@@ -1,4 +1,4 @@
-"""`opalgauge check`: whether a settings file can be used, and what would hold."""
+"""`opalgauge check`: validates a settings file and prints the effective settings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 @click.command("check")
 @click.argument("file", type=click.Path(path_type=Path))
 def command(file: Path) -> None:
-    """Check FILE as a whole and print what would hold; exit status 1 if there are mistakes, all told."""
+    """Check FILE and print the effective settings, or all errors with exit status 1."""
     from opalgauge.lifecycle import settings_file
     from opalgauge.lifecycle.config import ConfigError
     from opalgauge.lifecycle.sources import FileSource
--- a/opalgauge/cli/main.py
+++ b/opalgauge/cli/main.py
@@ -1,4 +1,4 @@
-"""The console script: one group, each sub-command loaded when it is asked for."""
+"""The console script `opalgauge`: a command group whose subcommands are imported on use."""
 
 from __future__ import annotations
 
@@ -17,12 +17,14 @@
 
 
 class LazyGroup(click.Group):
-    """Loads a sub-command's module when it is used, so that `serve` loads no more than serving needs."""
+    """Imports the module of a subcommand on use, so that `serve` imports only what serving needs."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Returns the names of all subcommands."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Imports a subcommand; None if there is no such one."""
         if cmd_name not in COMMANDS:
             return None
         command = importlib.import_module(COMMANDS[cmd_name]).command
@@ -33,10 +35,11 @@
 @click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="opalgauge")
 def cli() -> None:
-    """The shared-quota ingress: serve it, check its settings, measure it."""
+    """Serve the shared-quota ingress, check its settings, measure it."""
 
 
 def main() -> None:
+    """Runs the command line and exits with its status."""
     sys.exit(cli())
 
 
--- a/opalgauge/cli/serve.py
+++ b/opalgauge/cli/serve.py
@@ -1,4 +1,4 @@
-"""`opalgauge serve`: runs one ingress in the foreground."""
+"""`opalgauge serve`: runs an ingress in the foreground."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @click.command("serve")
 @click.option("--settings", type=click.Path(dir_okay=False), help="Our file; without it, BALANCER_CONFIG.")
 def command(settings: str | None) -> None:
-    """Serve until SIGTERM; SIGHUP reads the settings again. Exit status 2: the start cannot work."""
+    """Serve until SIGTERM; SIGHUP reloads the settings. Exit status 2 if it cannot start."""
     from opalgauge.lifecycle.imports import fast_imports
     from opalgauge.lifecycle.native import use_compiled_modules
 
--- a/opalgauge/cli/stand_ins.py
+++ b/opalgauge/cli/stand_ins.py
@@ -1,4 +1,4 @@
-"""`opalgauge stand-ins`: what an ingress needs round it, on loopback, to try it by hand."""
+"""`opalgauge stand-ins`: a quota counter and servers on loopback, to try an ingress by hand."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def example_command(platform_config: dict[str, Any]) -> str:
-    """A request that the ingress of these settings takes, as a command for a shell."""
+    """Returns a curl command with a request that an ingress with these settings accepts."""
     platform_settings = platform_config["settings"]
     request_class, plan = platform_settings["classes"][0], platform_settings["tiers_of_service"][0]["name"]
     method = "" if request_class.get("effect") == "retryable" else "-X POST "
@@ -31,6 +31,7 @@
 
 
 async def run(counter_address: str, server_addresses: list[str], delay: float) -> None:
+    """Runs the stand-ins until SIGINT or SIGTERM. `delay` is the servers' answer time in s."""
     from opalgauge.lab.stand_ins import HttpConnection, StandInCounter, StandInServers
 
     loop = asyncio.get_running_loop()
@@ -58,9 +59,9 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--delay", default=0.02, show_default=True, help="Seconds that a stock node takes to answer.")
 def command(file: Path, delay: float) -> None:
-    """Stand in for the quota counter and the stock nodes that FILE names, at their addresses on loopback.
+    """Stand in for the quota counter and the servers that FILE names, at their loopback addresses.
 
-    Exit status 2: FILE cannot be used, names other machines, or an address is taken.
+    Exit status 2 if FILE cannot be used or names other machines, or if an address is in use.
     """
     from opalgauge.lifecycle.config import ConfigError, make_config
     from opalgauge.lifecycle.sources import FileSource
--- a/opalgauge/console/__init__.py
+++ b/opalgauge/console/__init__.py
@@ -1,1 +1,1 @@
-"""The admin endpoint: operators' commands of one line, the figures, stock nodes taken out of use by hand."""
+"""The admin endpoint: one-line commands of operators, statistics, and bans of servers."""
--- a/opalgauge/console/ban_file.py
+++ b/opalgauge/console/ban_file.py
@@ -1,4 +1,4 @@
-"""Where bans lie: one file in the ingress's own folder, shared by an old and a new process."""
+"""The file in which bans are stored; an old and a new process of an ingress share it."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 class BanFile:
-    """Reads and replaces the file. What cannot be written for now is still owed, and tried at each look."""
+    """Reads and replaces the ban file. Bans that cannot be written are kept and retried at each poll."""
 
     def __init__(self, folder: str, log: Callable[[str], None]) -> None:
         self.folder, self.log = Path(folder), log
-        self.last_seen: tuple[int, int] | None = None  # the file as it was last read
+        self.last_seen: tuple[int, int] | None = None  # inode and mtime (ns) of the file as last read
         self.failure_logged = False
-        self.unsaved: tuple[BanStatus, ...] = ()  # not written yet
+        self.unsaved: tuple[BanStatus, ...] = ()  # bans that are not written yet
 
     @contextlib.contextmanager
     def _locked(self) -> Iterator[None]:
-        """Guards what the other process has just said against being written over unread.
+        """Holds the lock, so that a concurrent change by the other process is not overwritten unread.
 
-        Raises BlockingIOError where the other one has the file now: it may have been stopped, and this one
-        must not stand still with it.
+        Raises BlockingIOError if the other process holds the lock: that process may be suspended, and this
+        one must not wait for it.
         """
         with open(self.folder / LOCK_NAME, "wb") as lock_file:
             fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             yield
 
     def _read(self) -> tuple[BanStatus, ...]:
-        """What lies there; nothing where it is missing or no whole record."""
+        """Returns the stored bans; none if the file is missing or not a complete record."""
         try:
             with open(self.folder / FILE_NAME, "rb") as file:
                 entries = ban_record.decode(file.read(ban_record.MAX_RECORD_SIZE + 1))
@@ -54,7 +54,7 @@
             self.log(f"maint: {reason}")
 
     def save(self, effect: PersistBans) -> None:
-        """Whole or not at all: the new file takes the old one's place only when it is written."""
+        """Stores bans. The new file replaces the old one only when it is completely written."""
         self.unsaved = ban_record.merge(self.unsaved, effect.bans)
         self._write()
 
@@ -62,7 +62,7 @@
         try:
             with self._locked():
                 record = ban_record.encode(ban_record.merge(self._read(), self.unsaved))
-                # One name: only who has the lock writes it, and a process that was killed leaves one at most.
+                # A fixed name is safe under the lock, and a killed process leaves one such file at most.
                 temp_file = self.folder / TEMP_NAME
                 temp_file.write_bytes(record)
                 os.replace(temp_file, self.folder / FILE_NAME)
@@ -77,7 +77,7 @@
             self.log("maint: kept again")
 
     def poll(self, report: Callable[[Event], None]) -> None:
-        """Writes what is owed, and reports what lies there if the file is another than at the last look."""
+        """Retries unsaved bans, and reports the stored ones if the file has changed since the last poll."""
         if self.unsaved:
             self._write()
         try:
@@ -91,7 +91,7 @@
         try:
             bans = self._read()
         except OSError as error:
-            self.last_seen = None  # it is read at the next look
+            self.last_seen = None  # read again at the next poll
             self._log_failure(f"cannot be read: {error}")
             return
         if bans:
--- a/opalgauge/console/ban_record.py
+++ b/opalgauge/console/ban_record.py
@@ -1,7 +1,8 @@
-"""What staff said of stock nodes, as a small text record that outlives the process. No I/O, no clock.
+"""Encodes bans as a small text record that outlives the process. No I/O, no clock.
 
-One line says what follows is and how long it is, with a digest; then a line a mark: `out` or `in`, when
-(microseconds of Unix time) and the stock node's ID. A record that is not whole is no record.
+The first line holds the title, the length of the rest and its SHA-256 digest. Each further line is a ban:
+`out` or `in`, the time of the change (microseconds of Unix time) and the server's ID. An incomplete record is
+rejected.
 """
 
 from __future__ import annotations
@@ -14,10 +15,11 @@
 
 TITLE = "opalgauge-marks-1"
 EPOCH = datetime.fromtimestamp(0, UTC)
-MAX_RECORD_SIZE = 1 << 20  # bytes of a record
+MAX_RECORD_SIZE = 1 << 20  # bytes
 
 
 def encode(bans: Iterable[BanStatus]) -> bytes:
+    """Returns the record of the given bans."""
     body = "".join(
         f"{'out' if ban.banned else 'in'} {(ban.at - EPOCH) // timedelta(microseconds=1)} {ban.name}\n"
         for ban in bans
@@ -26,7 +28,7 @@
 
 
 def decode(record: bytes) -> tuple[tuple[str, bool, datetime], ...] | None:
-    """Names with what was said and when; None where the record is torn, foreign or too long."""
+    """Returns name, banned state and time of each ban; None if the record is damaged or too long."""
     head, _, body = record.partition(b"\n")
     try:
         title, length, digest = head.decode("ascii").split(" ")
@@ -44,7 +46,7 @@
 
 
 def merge(first: Iterable[BanStatus], second: Iterable[BanStatus]) -> tuple[BanStatus, ...]:
-    """Of each stock node what was said last; of two things said at once, that it is out."""
+    """Returns the latest change per server; of two changes at the same time, the ban."""
     newest: dict[int, BanStatus] = {}
     for ban in (*first, *second):
         known = newest.get(ban.server_id)
--- a/opalgauge/console/commands.py
+++ b/opalgauge/console/commands.py
@@ -1,4 +1,4 @@
-"""What staff can say at the endpoint, and how it is answered. No I/O, no clock."""
+"""Parses the commands of the admin endpoint and formats its answers. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 from opalgauge.memory.state import StatusReport
 
-MAX_LINE = 512  # bytes of a call, its line end included
+MAX_LINE = 512  # bytes of a command, line end included
 SERVER_ID = re.compile(r"[!-~]{1,128}")  # visible ASCII
 
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """Can this process serve?"""
+    """Asks whether this process serves."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stats:
-    """The figures."""
+    """Asks for the statistics."""
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What the process did last."""
+    """Asks for the flight record: the latest events and effects."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeBan:
-    """A stock node out of use, or back."""
+    """Takes a server out of use, or returns it."""
 
     server_name: str
     banned: bool
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidCommand:
-    """No call; `why` is what the caller is told."""
+    """A line that is not a command; `reason` is the answer."""
 
     reason: str
 
@@ -46,7 +46,7 @@
 
 
 def parse(line: bytes) -> Command:
-    """A call's line, with or without its end. Never raises."""
+    """Parses a line, with or without its line end. Never raises."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
@@ -71,19 +71,19 @@
 
 
 def format_answer(success: bool, text: str) -> bytes:
-    """One line that begins with 200 or 400."""
+    """Returns a line that starts with 200 or 400."""
     return f"{200 if success else 400} {text}\n".encode("ascii", "replace")
 
 
 def format_record(lines: Sequence[str]) -> bytes:
-    """A line that begins with 200, a line an entry, and the line EOF."""
+    """Returns a line that starts with 200, one line per entry, and the line EOF."""
     return "\n".join(["200 record", *lines, "EOF\n"]).encode("ascii", "replace")
 
 
 def format_statistics(
     report: StatusReport, class_names: Sequence[str], extra_lines: Sequence[str] = ()
 ) -> bytes:
-    """A line that begins with 200, a line a figure, `more` of them, and the line EOF."""
+    """Returns a line that starts with 200, one line per figure, the extra lines, and the line EOF."""
     lines = ["200 figures"]
     for name, counts in (
         ("passed", report.served),
--- a/opalgauge/console/endpoint.py
+++ b/opalgauge/console/endpoint.py
@@ -1,4 +1,4 @@
-"""The admin endpoint's edge: a listener, callers that may be silent or rude, one answer to each call."""
+"""The admin endpoint: listens for connections and answers one command on each."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from opalgauge.wire.listener import Listener, bind
 from opalgauge.wire.node_list import node_number
 
-BACKLOG = 64  # callers that wait to be accepted
-MAX_CONNECTIONS = 12  # at once: the oldest silent one makes room for one more
-COMMAND_TIMEOUT = timedelta(seconds=10)  # a call is whole by then, or its caller goes
-LINGER_TIMEOUT = timedelta(seconds=1)  # so long what is written behind a call is read and dropped
+BACKLOG = 64  # connections that wait to be accepted
+MAX_CONNECTIONS = 12  # at once; beyond, the oldest one without a command is aborted
+COMMAND_TIMEOUT = timedelta(seconds=10)  # for a complete command, and for reading its answer
+LINGER_TIMEOUT = timedelta(seconds=1)  # for input behind an overlong line to be read and dropped
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection: a line in, an answer out, the end."""
+    """A connection: it receives a line, sends the answer and closes."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
         self.endpoint, self.call_id, self.received = endpoint, 0, b""
@@ -30,10 +30,12 @@
         self.command_received = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop when the connection is open."""
         self.transport = cast(asyncio.Transport, transport)
         self.endpoint.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop with further input."""
         if self.command_received:
             return
         self.received += data[: commands.MAX_LINE + 1]
@@ -44,22 +46,25 @@
             self.endpoint.on_command(self, command)
 
     def eof_received(self) -> bool:
+        """Called by the event loop at the end of input."""
         if not self.command_received:
-            # A caller may end its sending in place of its line.
+            # The end of input may stand for the line end.
             self.command_received = True
             self.endpoint.on_command(self, commands.parse(self.received))
-        return True  # it may still read
+        return True  # the other side may still read the answer
 
     def connection_lost(self, exc: BaseException | None) -> None:
+        """Called by the event loop when the connection has ended."""
         self.endpoint.on_disconnected(self)
 
     def send(self, data: bytes) -> None:
+        """Sends an answer and closes the connection."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
             if len(self.received) <= commands.MAX_LINE:
                 self.transport.close()
                 return
-            # Guards the answer against the reset that a close sends where the caller is still writing.
+            # A close while the other side is still sending would reset the connection and lose the answer.
             self.transport.write_eof()
             asyncio.get_running_loop().call_later(
                 LINGER_TIMEOUT.total_seconds(), self.endpoint._on_timeout, self
@@ -67,7 +72,10 @@
 
 
 class AdminEndpoint:
-    """Where operators call. It reads the reducer's figures and changes things by events alone."""
+    """Serves operators. It reads the reducer's statistics and changes state only by events.
+
+    `not_ready_reason` returns an empty string while the process serves.
+    """
 
     def __init__(
         self,
@@ -85,28 +93,31 @@
             report,
             not_ready_reason,
         )
-        self.connections: dict[int, AdminConnection] = {}  # the oldest first
+        self.connections: dict[int, AdminConnection] = {}  # by call_id, the oldest first
         self.last_call_id = 0
         self.listener: Listener | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Raises OSError where the address cannot be had."""
+        """Starts to listen. Raises OSError if the address is not available."""
         self.listener = Listener(bind(host, port), BACKLOG, lambda _: AdminConnection(self))
 
     def close(self) -> None:
+        """Stops listening."""
         if self.listener is not None:
             self.listener.close()
 
     def on_connected(self, connection: AdminConnection) -> None:
+        """Registers a new connection and makes room for it if there are too many."""
         self.last_call_id += 1
         connection.call_id = self.last_call_id
         if len(self.connections) >= MAX_CONNECTIONS:
-            # Guards the descriptors, and callers that have something to say, against those that have not.
+            # Silent connections must not use up the descriptors or keep out those with a command.
             self._abort(next((c for c in self.connections.values() if not c.command_received), None))
         self.connections[connection.call_id] = connection
         asyncio.get_running_loop().call_later(COMMAND_TIMEOUT.total_seconds(), self._on_timeout, connection)
 
     def on_disconnected(self, connection: AdminConnection) -> None:
+        """Forgets a connection."""
         self.connections.pop(connection.call_id, None)
 
     def _abort(self, connection: AdminConnection | None) -> None:
@@ -115,11 +126,12 @@
             connection.transport.abort()
 
     def _on_timeout(self, connection: AdminConnection) -> None:
-        # Guards against callers that stay without a call, or do not read their answer.
+        # The other side has sent no command, or does not read its answer.
         if connection.call_id in self.connections:
             self._abort(connection)
 
     def on_command(self, connection: AdminConnection, command: commands.Command) -> None:
+        """Answers a command; the answer to a ban comes later, from the reducer."""
         match command:
             case commands.Status():
                 not_ready_reason = self.not_ready_reason()
@@ -136,14 +148,14 @@
                 connection.send(commands.format_answer(False, reason))
 
     def on_answer(self, effect: AnswerStaff) -> None:
-        """Carries out the reducer's answer; a caller that has left is owed none."""
+        """Sends the reducer's answer, if the connection is still open."""
         if connection := self.connections.get(effect.call_id):
             connection.send(commands.format_answer(effect.accepted, effect.text))
 
 
 @contextlib.asynccontextmanager
 async def open_admin_endpoint(address: tuple[str, int] | None, **options: Any) -> Any:
-    """An open endpoint, or none where no address is told."""
+    """Context of an open endpoint; None without an address. `options` are those of AdminEndpoint."""
     if address is None:
         yield None
         return
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and over no others; a listed one that passes fails."""
+"""Expects the tests that KNOWN-RED.txt lists to fail; a listed test that passes fails the run."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
+    """Reads the list."""
     path = config.rootpath / "KNOWN-RED.txt"
     try:
         config.stash[KNOWN_FAILURES] = known_red.parse(path.read_text()) if path.exists() else ()
@@ -18,6 +19,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+    """Marks the listed tests as expected failures. A run of the whole suite must contain all of them."""
     failures = config.stash[KNOWN_FAILURES]
     whole_suite = config.args == config.getini("testpaths") and not config.option.keyword
     if whole_suite and (unknown_tests := known_red.unknown(failures, {item.nodeid for item in items})):
@@ -30,5 +32,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
+    """Prints the listed tests with cause and issue."""
     for failure in config.stash[KNOWN_FAILURES]:
         terminalreporter.write_line(f"known red: {failure.test}: {failure.cause} ({failure.issue})")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""KNOWN-RED.txt: tests that fail for a fault that is known, and is mended first in the next sitting.
+"""Reads KNOWN-RED.txt, the list of tests that fail for a known cause, which is to be fixed next.
 
-A line each: the test's name as pytest gives it, its cause, its issue, parted by ` | `. Three lines at most.
+Each line holds the test's pytest node ID, the cause and the issue, separated by ` | `. Three lines at most.
 """
 
 from __future__ import annotations
@@ -13,17 +13,20 @@
 
 
 class InvalidList(ValueError):
-    """The list itself is at fault; the message says why in one line."""
+    """The list cannot be used; the message is one line."""
 
 
 @dataclass(frozen=True)
 class KnownFailure:
+    """A line of the list."""
+
     test: str
     cause: str
     issue: str
 
 
 def parse(text: str) -> tuple[KnownFailure, ...]:
+    """Parses the list. Raises InvalidList."""
     failures = []
     for line in filter(None, map(str.strip, text.splitlines())):
         parts = [part.strip() for part in line.split("|")]
@@ -33,10 +36,10 @@
     if len(failures) > MAX_ENTRIES:
         raise InvalidList(f"KNOWN-RED.txt: {len(failures)} lines; {MAX_ENTRIES} at most")
     if len({failure.test for failure in failures}) < len(failures):
-        raise InvalidList("KNOWN-RED.txt: a test stands there twice")
+        raise InvalidList("KNOWN-RED.txt: a test is listed twice")
     return tuple(failures)
 
 
 def unknown(failures: tuple[KnownFailure, ...], tests: set[str]) -> list[str]:
-    """What is listed and is no test."""
+    """Returns the listed names that are not among the tests."""
     return [failure.test for failure in failures if failure.test not in tests]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: its commands, rude callers, the figures, and stock nodes taken out by hand."""
+"""The admin endpoint: its commands, misbehaving callers, statistics, and bans of servers."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 class TestDecisions:
-    """The module: a banned server gets nothing, and comes back cold."""
+    """The gateway sends nothing to a banned server, and starts it cold afterwards."""
 
     def test_a_banned_server_gets_no_attempt_whatever_the_list_says(self) -> None:
         rig = GatewayRig(gateway_settings(), servers=2)
@@ -114,11 +114,13 @@
         for n in range(200):
             rig.request(account=n)
             rig.finish()
-        assert 0 < [s.server for s in rig.sends].count(3) < 200 / 12 / 2  # a warm one's part is 200 / 12
+        assert (
+            0 < [s.server for s in rig.sends].count(3) < 200 / 12 / 2
+        )  # the share of a warm one is 200 / 12
 
 
 class TestReducer:
-    """What the door's calls change, and what is counted."""
+    """Commands that change bans, and the counting of requests."""
 
     def call(self, rig: ReducerRig, server_id: int, banned: bool) -> effects.AnswerStaff:
         rig.step(events.BanChangeRequested(1, f"s-{server_id}", server_id, banned))
@@ -136,7 +138,7 @@
     def test_an_unknown_server_is_rejected_and_a_banned_one_can_always_return(self) -> None:
         rig = ReducerRig(server_count=1)
         assert not self.call(rig, 9, True).accepted and not self.call(rig, 9, False).accepted
-        assert self.call(rig, 1, False).accepted  # in use already
+        assert self.call(rig, 1, False).accepted  # not banned: no change
         assert self.call(rig, 1, True).accepted
         list_request = rig.last_list_request()
         rig.step(
@@ -251,7 +253,7 @@
                 await asyncio.sleep(0)
             for _ in range(3):
                 assert (await ingress.call(b"stats\n")).endswith(b"EOF\n")
-            assert answered < clients * requests_per_client  # it did not wait for what was there before it
+            assert answered < clients * requests_per_client  # it did not wait for the earlier requests
             await asyncio.gather(*client_tasks)
 
     asyncio.run(scenario())
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""A start loads no certificates, and leaves the process as it would have been."""
+"""A start loads no certificates, and restores the state of the process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_fast_imports_reads_no_certificates_and_restores_the_process_state() -> None:
-    # Guards what a killed fleet waits for: reading them was a fifth of a start's CPU.
+    # Loading them took a fifth of the CPU of a start, for which a killed fleet has to wait.
     output = subprocess.run(
         [sys.executable, "-c", LOAD_SCRIPT], capture_output=True, text=True, check=True
     ).stdout
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI passes over what KNOWN-RED.txt lists, and only over that."""
+"""CI ignores the failures that KNOWN-RED.txt lists, and no others."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def run(folder: Path, list_text: str | None, *options: str) -> tuple[int, str]:
-    """A project of two tests, one of which fails, with that list."""
+    """Runs a project of two tests, one of which fails, with that list; returns exit status and output."""
     tests = folder / "tests"
     tests.mkdir()
     (tests / "__init__.py").touch()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Who may import whom, as the folders promise, and that no modules import each other in a circle."""
+"""Which packages may import each other, and that there are no import cycles."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-# What is left out of a package's row may not be imported by it. Its edge may also import what stands second.
+# The packages that each package may import. Its edge modules may also import the second set of EDGE_MODULES.
 ALLOWED_IMPORTS: dict[str, set[str]] = {
     "starlinggap": set(),
     "memory": {"starlinggap"},
@@ -22,13 +22,13 @@
     "cores": {"memory", "starlinggap"},
     "lab": {"memory", "starlinggap", "wire", "zones", "leases", "replica", "lifecycle"},
 }
-EDGE_MODULES: dict[str, tuple[set[str], set[str]]] = {  # its modules, and what these may import besides
+EDGE_MODULES: dict[str, tuple[set[str], set[str]]] = {  # the modules, and what they may import besides
     "console": ({"endpoint", "ban_file"}, {"wire"}),
     "zones": ({"channel"}, {"wire"}),
     "leases": ({"channel"}, {"wire"}),
     "replica": ({"channel"}, {"wire"}),
     "cores": ({"supervisor", "worker", "__main__"}, {"wire", "lifecycle"}),
-    "lab": ({"skewed_clock"}, {"cli"}),  # it is the command line, with a clock that is wrong
+    "lab": ({"skewed_clock"}, {"cli"}),  # runs the command line with a skewed clock
 }
 
 
@@ -44,7 +44,7 @@
 
 
 def imports(name: str) -> Iterator[str]:
-    """Our own modules that one imports, wherever in it that stands."""
+    """Yields the project's modules that a module imports, at any place in it."""
     for node in ast.walk(ast.parse(MODULES[name].read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             candidates = [f"{node.module}.{a.name}" for a in node.names]
@@ -84,5 +84,5 @@
             del remaining[name]
         for others in remaining.values():
             others.difference_update(leaves)
-    # What is left imports only what is left: a circle, and whoever leads to one.
+    # What remains are the cycles, and modules that import from one.
     assert remaining == {}
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -1,4 +1,4 @@
-"""Compiled modules: found only for exactly these sources, and never needed."""
+"""Compiled modules are used only for exactly these sources, and are never required."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def small_tree(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """A tree of one module to compile, in place of the program's own."""
+    """A source tree with one module to compile, instead of the program's own."""
     (tmp_path / "trade").mkdir()
     (tmp_path / "trade" / "__init__.py").write_text("")
     (tmp_path / "trade" / "total.py").write_text(SOURCE)
@@ -39,7 +39,7 @@
 
 
 def load_in(tree: Path, **environ: str) -> str:
-    """The file that a program in that tree gets the module from, and what the module does."""
+    """Returns which file a program in that tree imports the module from, and the module's output."""
     code = (
         f"import sys; sys.path.insert(0, {str(harness.ROOT)!r}); sys.path.insert(0, {str(tree)!r})\n"
         "from pathlib import Path; from opalgauge.lifecycle import native\n"
@@ -62,11 +62,11 @@
     assert "total.py 5" in load_in(small_tree, **{native.DISABLE_VARIABLE: "1"})
     source = small_tree / "trade" / "total.py"
     source.write_text(SOURCE.replace("+= units", "+= 2 * units"))
-    os.utime(source, (0, 0))  # older than the build: a time would not tell
+    os.utime(source, (0, 0))  # older than the build: the digest decides, not the time
     assert "total.py 10" in load_in(small_tree)
     assert nativebuild.build().endswith("built")
     assert ".so 10" in load_in(small_tree)
-    assert len(list((small_tree / ".native").iterdir())) == 1  # the build of other sources is gone
+    assert len(list((small_tree / ".native").iterdir())) == 1  # the build of the old sources is removed
 
 
 def test_plain_python_runs_when_compilation_fails(small_tree: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Our settings file: what is told of mistakes, what a good one means, and what a reload would change."""
+"""The settings file: error messages, the config that a valid file gives, and what a reload changes."""
 
 from __future__ import annotations
 
@@ -185,7 +185,7 @@
     except settings_file.SettingsFileError as error:
         assert error.errors and all(m.strip() for m in error.errors)
     else:
-        assert settings.get("platform")  # all else that is needed is missing from these lines
+        assert settings.get("platform")  # without it, required directives are missing
 
 
 def test_the_example_files_are_valid() -> None:
