--- a/opalgauge/lifecycle/logs.py
+++ b/opalgauge/lifecycle/logs.py
@@ -24,7 +24,7 @@
 def make_log(log_format: str, **context: Any) -> Log:
     """Returns a log function of the given format.
 
-    `form` is plain, text (the line, then key=value pairs) or json. The `context` values are added to each
+    `log_format` is plain, text (the line, then key=value pairs) or json. The `context` values are added to each
     line that is not plain.
     """
     if log_format == "plain":
--- a/opalgauge/lifecycle/native.py
+++ b/opalgauge/lifecycle/native.py
@@ -66,7 +66,7 @@
 
 
 def use_compiled_modules() -> bool:
-    """Makes imports prefer the compiled modules. Returns whether there is a build.
+    """Makes imports prefer the compiled modules. Returns whether they will be used.
 
     Must be called before any of the modules is imported.
     """
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -37,13 +37,16 @@
     """A part of the ingress that exchanges datagrams with the peers."""
 
     def start(self) -> None:
-        """Starts to exchange messages. The datagram socket is open by then."""
+        """Starts exchanging messages. The datagram socket is open by then."""
+        ...
 
     def close(self) -> None:
-        """Stops to exchange messages."""
+        """Stops exchanging messages."""
+        ...
 
     def figures(self) -> list[str]:
         """Returns the statistics lines for the admin endpoint."""
+        ...
 
 
 def poll_ban_file(
--- a/opalgauge/lifecycle/sources.py
+++ b/opalgauge/lifecycle/sources.py
@@ -31,7 +31,7 @@
 
 
 class SettingsSource(Protocol):
-    """A source that settings can be read from again and again."""
+    """A source from which settings can be read repeatedly."""
 
     def read(self) -> SettingsReading:
         """Reads and checks all settings. Raises ConfigError, after which the source is unchanged."""
@@ -76,9 +76,8 @@
         else:
             platform_config = settings_file.to_platform_config(new)
             if new.get("seed") is None:
-                self.seed = platform_config["seed"] = (
-                    self.seed or platform_config["seed"]
-                )  # drawn once per process
+                # Drawn once per process, so that a reload does not change it.
+                self.seed = platform_config["seed"] = self.seed or platform_config["seed"]
         platform_config["peering"] = settings_file.to_peering_config(new)
         make_config(platform_config, environ)
         change_summary = ""
