--- a/opalgauge/lifecycle/logs.py
+++ b/opalgauge/lifecycle/logs.py
@@ -24,8 +24,8 @@
 def make_log(log_format: str, **context: Any) -> Log:
     """Returns a log function of the given format.
 
-    `log_format` is plain, text (the line, then key=value pairs) or json. The `context` values are added to each
-    line that is not plain.
+    `log_format` is plain, text (the line, then key=value pairs) or json. The `context` values are added to
+    each line that is not plain.
     """
     if log_format == "plain":
         return log_plain
@@ -48,10 +48,10 @@
     return log
 
 
-def _render_key_value(_: Any, __: str, event_dict: dict[str, Any]) -> str:
+def _render_key_value(logger: Any, method_name: str, event_dict: dict[str, Any]) -> str:
     """Renders `opalgauge: LINE key=value …`, which starts like a plain line."""
     import structlog
 
     line = event_dict.pop("event")
-    fields = structlog.processors.LogfmtRenderer(sort_keys=True)(_, __, event_dict)
+    fields = structlog.processors.LogfmtRenderer(sort_keys=True)(logger, method_name, event_dict)
     return f"opalgauge: {line} {fields}"
--- a/opalgauge/lifecycle/settings_file.py
+++ b/opalgauge/lifecycle/settings_file.py
@@ -66,7 +66,7 @@
     def by_directive(self) -> dict[str, Any]:
         """Returns the values of every directive, for comparing two readings."""
         return {
-            name: [(r.arguments, r.options) for r in self.statements[name]]
+            name: [(statement.arguments, statement.options) for statement in self.statements[name]]
             if name in self.statements
             else None
             for name in DIRECTIVES
