--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "call"),
+    ("line", "command"),
     [
         (b"status", commands.Status()),
         (b"stats\r", commands.Stats()),
@@ -30,18 +30,18 @@
         (b"maint-off s-1", commands.ChangeBan("s-1", False)),
     ],
 )
-def test_parse_accepts_every_command(line: bytes, call: commands.Command) -> None:
-    assert commands.parse(line) == call
+def test_parse_accepts_every_command(line: bytes, command: commands.Command) -> None:
+    assert commands.parse(line) == command
 
 
 @given(st.binary(max_size=80) | st.sampled_from([b"", b"status now", b"maint-on", b"maint-on a b"]))
 @settings(derandomize=True, max_examples=200)
 def test_parse_answers_invalid_input_with_a_reason(line: bytes) -> None:
-    call = commands.parse(line)
-    if isinstance(call, commands.InvalidCommand):
+    command = commands.parse(line)
+    if isinstance(command, commands.InvalidCommand):
         assert (
-            commands.format_answer(False, call.reason).startswith(b"400 ")
-            and commands.format_answer(False, call.reason).count(b"\n") == 1
+            commands.format_answer(False, command.reason).startswith(b"400 ")
+            and commands.format_answer(False, command.reason).count(b"\n") == 1
         )
 
 
@@ -90,9 +90,9 @@
             )
         )
         rig.feed(interface.ServerList(interface.ListKind.COMPLETE, (entry(1, started=0.5), entry(2))))
-        for customer in range(30):
-            rig.request(account=customer)
-            rig.finish(interface.End.REJECTED if customer % 3 == 0 else interface.End.OK)
+        for account in range(30):
+            rig.request(account=account)
+            rig.finish(interface.End.REJECTED if account % 3 == 0 else interface.End.OK)
         assert {s.server for s in rig.sends} == {2}
         assert rig.gateway.count_avoided(rig.now) == 1
 
