--- a/opalgauge/console/ban_file.py
+++ b/opalgauge/console/ban_file.py
@@ -11,7 +11,7 @@
 from opalgauge.console import ban_record
 from opalgauge.memory.effects import PersistBans
 from opalgauge.memory.events import BansReceived, BanStatus, Event
-from opalgauge.wire.node_list import node_number
+from opalgauge.wire.server_list import server_id_for
 
 FILE_NAME, LOCK_NAME, TEMP_NAME = "opalgauge.marks", "opalgauge.marks.lock", "opalgauge.marks.new"
 
@@ -46,7 +46,7 @@
         if entries is None:
             self._log_failure("what is kept of them is no whole record, and is left")
             return ()
-        return tuple(BanStatus(name, node_number(name), banned, at) for name, banned, at in entries)
+        return tuple(BanStatus(name, server_id_for(name), banned, at) for name, banned, at in entries)
 
     def _log_failure(self, reason: str) -> None:
         if not self.failure_logged:
--- a/opalgauge/console/endpoint.py
+++ b/opalgauge/console/endpoint.py
@@ -13,7 +13,7 @@
 from opalgauge.memory.events import BanChangeRequested, Event
 from opalgauge.memory.state import StatusReport
 from opalgauge.wire.listener import Listener, bind
-from opalgauge.wire.node_list import node_number
+from opalgauge.wire.server_list import server_id_for
 
 BACKLOG = 64  # connections that wait to be accepted
 MAX_CONNECTIONS = 12  # at once; beyond, the oldest one without a command is aborted
@@ -143,7 +143,7 @@
             case commands.Record():
                 connection.send(commands.format_record(self.record_lines()))
             case commands.ChangeBan(name, banned):
-                self.report(BanChangeRequested(connection.call_id, name, node_number(name), banned))
+                self.report(BanChangeRequested(connection.call_id, name, server_id_for(name), banned))
             case commands.InvalidCommand(reason):
                 connection.send(commands.format_answer(False, reason))
 
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -21,13 +21,13 @@
 from opalgauge.memory.events import DrainRequested, Event
 from opalgauge.memory.reducer import BANS_KEY, Reducer
 from opalgauge.wire.clients import Clients
-from opalgauge.wire.exchange import Exchange
-from opalgauge.wire.node_list import NodeListReader
+from opalgauge.wire.runtime import Runtime
+from opalgauge.wire.server_list import ServerListReader
 from starlinggap.snapshot import export_state
 
 if TYPE_CHECKING:
-    from opalgauge.handover.link import Link
-    from opalgauge.wire.peers import Peers
+    from opalgauge.handover.link import HandoverLink
+    from opalgauge.wire.peers import PeerSocket
 
 MIN_CLOCK_STEP = timedelta(milliseconds=250)  # processes that share an unstepped wall clock differ by less
 BAN_POLL_INTERVAL = timedelta(milliseconds=250)  # a ban has to reach the other process within 1 s
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        transport: Peers,
+        transport: PeerSocket,
         services: list[PeerService],
         wait_until_ready: Callable[[], Awaitable[None]] | None,
     ) -> None:
@@ -94,16 +94,16 @@
 
 
 def build_peer_services(
-    config: Config, peering: Peering, exchange: Exchange, clock: Clock, log: Log
+    config: Config, peering: Peering, runtime: Runtime, clock: Clock, log: Log
 ) -> PeerServices:
     """Creates the configured peer services and routes the reducer's effects to them.
 
     The modules of a service that is off are not imported.
     """
-    from opalgauge.wire.peers import Peers
+    from opalgauge.wire.peers import PeerSocket
 
     settings, seed = config.ingress.settings, config.ingress.seed
-    transport = Peers(peering.peers, asyncio.get_running_loop().time)
+    transport = PeerSocket(peering.peers, asyncio.get_running_loop().time)
     services: list[PeerService] = []
     if peering.watches_zones:
         from opalgauge.zones.channel import Channel as ZoneChannel
@@ -121,10 +121,10 @@
             peering.acts_on_zones,
         )
         zone_channel = ZoneChannel(
-            zone_rules, transport, peering.secret, seed, exchange.report, clock.now, log
+            zone_rules, transport, peering.secret, seed, runtime.report, clock.now, log
         )
-        exchange.do[effects.ReportAttempt] = zone_channel.seen
-        exchange.do[effects.ReportServers] = zone_channel.listed
+        runtime.effect_handlers[effects.ReportAttempt] = zone_channel.seen
+        runtime.effect_handlers[effects.ReportServers] = zone_channel.listed
         services.append(zone_channel)
     lease_channel = None
     if config.ingress.uses_leases:
@@ -137,29 +137,29 @@
             settings.gateway_index, settings.gateways, plans, leases_ahead, grants_to_peers
         )
         lease_channel = LeaseChannel(
-            lease_rules, transport, peering.secret, seed, exchange.report, clock.now, log
+            lease_rules, transport, peering.secret, seed, runtime.report, clock.now, log
         )
-        exchange.do[effects.ReportAccount] = lease_channel.met
-        exchange.do[effects.AskLeaseHolder] = lease_channel.asked
-        exchange.do[effects.ReportCounterResult] = lease_channel.counted
+        runtime.effect_handlers[effects.ReportAccount] = lease_channel.met
+        runtime.effect_handlers[effects.AskLeaseHolder] = lease_channel.asked
+        runtime.effect_handlers[effects.ReportCounterResult] = lease_channel.counted
         services.append(lease_channel)
     wait_until_ready = None
     if peering.replicates:
         from opalgauge.replica.channel import Channel as ReplicaChannel
         from starlinggap.snapshot import active_ejections
 
-        gateway = exchange.reducer.gateway
+        gateway = runtime.reducer.gateway
         replica_channel = ReplicaChannel(
             settings.gateway_index,
             settings.gateways,
             transport,
             peering.secret,
             seed,
-            exchange.report,
+            runtime.report,
             clock.now,
             lambda: active_ejections(gateway, clock.now().timestamp()),
         )
-        exchange.do[effects.ReplicateBan] = replica_channel.marked
+        runtime.effect_handlers[effects.ReplicateBan] = replica_channel.marked
         if lease_channel is not None:
             lease_channel.spent, lease_channel.leases.heard_of = (
                 replica_channel.spent,
@@ -170,31 +170,33 @@
     return PeerServices(transport, services, wait_until_ready)
 
 
-async def connect_to_old_process(config: Config, exchange: Exchange, clock: Clock, log: Log) -> Link:
+async def connect_to_old_process(config: Config, runtime: Runtime, clock: Clock, log: Log) -> HandoverLink:
     """Opens the link to the other process of this ingress and takes over its snapshot, if there is one.
 
     Must be called before the first decision. If the wall clock was stepped after the old process started, the
     new process adopts the old one's clock: the peers share it, and the times in the snapshot refer to it.
     """
-    from opalgauge.handover.link import Link  # not imported if there can be no other process
-    from opalgauge.handover.record import Identity, Moment
+    from opalgauge.handover.link import HandoverLink  # not imported if there can be no other process
+    from opalgauge.handover.record import ClockReading, Identity
 
-    reducer = exchange.reducer
+    reducer = runtime.reducer
 
     def snapshot() -> dict[str, Any]:
         return {**export_state(reducer.gateway), BANS_KEY: reducer.bans_for_handover()}
 
     identity = Identity.of(config.name, config.platform_settings)
-    link = Link(config.state_folder, snapshot, lambda: Moment(clock.now(), clock.monotonic()), log, identity)
+    link = HandoverLink(
+        config.state_folder, snapshot, lambda: ClockReading(clock.now(), clock.monotonic()), log, identity
+    )
     await link.start()
-    if abs(link.ahead) >= MIN_CLOCK_STEP:
-        clock.shift(link.ahead)
-        seconds = link.ahead.total_seconds()
+    if abs(link.clock_offset) >= MIN_CLOCK_STEP:
+        clock.shift(link.clock_offset)
+        seconds = link.clock_offset.total_seconds()
         log(f"clock: stepped since the old process started; going on by its time ({seconds:+.1f} s)")
     return link
 
 
-def persist_and_share(link: Link, ban_file: BanFile | None) -> Callable[[effects.PersistBans], None]:
+def persist_and_share(link: HandoverLink, ban_file: BanFile | None) -> Callable[[effects.PersistBans], None]:
     """Returns a handler that writes bans to the file and sends them to the other process.
 
     The second way keeps a ban that cannot be written at the moment.
@@ -203,7 +205,7 @@
     def persist(effect: effects.PersistBans) -> None:
         if ban_file is not None:
             ban_file.save(effect)
-        link.tell_bans(effect.bans)
+        link.send_bans(effect.bans)
 
     return persist
 
@@ -216,28 +218,28 @@
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     clock = Clock()
-    exchange = Exchange(Reducer(config.ingress), clock.now, NodeListReader(config.zones), log, stopped.set)
+    runtime = Runtime(Reducer(config.ingress), clock.now, ServerListReader(config.zones), log, stopped.set)
     ready = draining = False
-    link: Link | None = None
-    clients = exchange.clients = Clients(config.trade, exchange.report, lambda: not draining)
+    link: HandoverLink | None = None
+    clients = runtime.clients = Clients(config.trade, runtime.report, lambda: not draining)
     shared = config.listen_fd is not None  # another process may accept from the same socket
 
     def drain() -> None:
         nonlocal draining
         if not draining:
-            draining = clients.last = True
+            draining = clients.draining = True
             # An inherited socket alone does not prove that another process accepts from it.
-            exchange.report(
-                DrainRequested(has_successor=shared and exchange.reducer.is_other_process_accepting())
+            runtime.report(
+                DrainRequested(has_successor=shared and runtime.reducer.is_other_process_accepting())
             )
             if link is not None:
-                link.tell_serving(False)
+                link.send_serving(False)
 
     def reload() -> None:
         """Applies new addresses of the counter, discovery and servers; nothing else changes while serving."""
 
         def apply(reading: SettingsReading) -> None:
-            report_addresses(exchange.report, make_config(reading.platform_config, reading.environ))
+            report_addresses(runtime.report, make_config(reading.platform_config, reading.environ))
             if reading.change_summary:
                 log(f"reload: {reading.change_summary}")
 
@@ -245,60 +247,60 @@
 
     # An unhandled exception on a connection ends that connection and is logged in one line.
     loop.set_exception_handler(
-        lambda _, context: exchange.fault(f"{context.get('message')}: {context.get('exception')!r}")
+        lambda _, context: runtime.report_fault(f"{context.get('message')}: {context.get('exception')!r}")
     )
     loop.add_signal_handler(signal.SIGTERM, drain)
     loop.add_signal_handler(signal.SIGINT, drain)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    loop.add_signal_handler(signal.SIGUSR1, exchange.recorder.write, config.state_folder, config.name, log)
+    loop.add_signal_handler(signal.SIGUSR1, runtime.recorder.write, config.state_folder, config.name, log)
     ban_file = BanFile(config.state_folder, log) if config.admin_address and config.state_folder else None
     if ban_file is not None:
-        exchange.do[effects.PersistBans] = ban_file.save
+        runtime.effect_handlers[effects.PersistBans] = ban_file.save
     peer_services = (
-        build_peer_services(config, config.peering, exchange, clock, log)
+        build_peer_services(config, config.peering, runtime, clock, log)
         if config.peering is not None
         else None
     )
     if shared and config.state_folder:
-        link = await connect_to_old_process(config, exchange, clock, log)
-        exchange.do[effects.PersistBans] = persist_and_share(link, ban_file)
-    exchange.start()
+        link = await connect_to_old_process(config, runtime, clock, log)
+        runtime.effect_handlers[effects.PersistBans] = persist_and_share(link, ban_file)
+    runtime.start()
     if link is not None:
-        link.go_on(exchange.report)
+        link.attach(runtime.report)
     async with open_admin_endpoint(
         config.admin_address,
         class_names=config.class_names,
-        status_report=exchange.reducer.status_report,
-        report=exchange.report,
+        status_report=runtime.reducer.status_report,
+        report=runtime.report,
         not_ready_reason=lambda: "draining" if draining else "" if ready else "starting",
         extra_lines=peer_services.figures if peer_services is not None else None,
-        record_lines=exchange.recorder.lines,
+        record_lines=runtime.recorder.lines,
     ) as endpoint:
         if endpoint is not None:
-            exchange.do[effects.AnswerStaff] = endpoint.on_answer
+            runtime.effect_handlers[effects.AnswerStaff] = endpoint.on_answer
         if ban_file is not None:
-            poll_ban_file(loop, ban_file, exchange.report)
+            poll_ban_file(loop, ban_file, runtime.report)
         if peer_services is not None and config.peering is not None:
             await peer_services.start(config.peering.listen)
         if not draining:  # a process that was stopped while starting must not accept clients
             await clients.listen(*config.listen, config.listen_fd)
             ready = True
             if link is not None:
-                link.tell_serving(True)
+                link.send_serving(True)
             host, port = config.listen
             log(
                 f"ready: {config.name} on {host}:{port}, "
                 f"{len(config.ingress.known_servers)} stock nodes known"
             )
         await stopped.wait()
-        if exchange.reducer.state.streams or exchange.reducer.state.requests:
-            exchange.recorder.write(config.state_folder, config.name, log)  # unanswered requests at exit
+        if runtime.reducer.state.streams or runtime.reducer.state.requests:
+            runtime.recorder.write(config.state_folder, config.name, log)  # unanswered requests at exit
         await asyncio.sleep(EXIT_DELAY.total_seconds())
         if link is not None:
             link.close()
         if peer_services is not None:
             peer_services.close()
-        await clients.close(exchange.time_to_kill().total_seconds())
+        await clients.close(runtime.time_until_exit().total_seconds())
     log("drain: nothing owed any more; leaving")
 
 
--- /dev/null
+++ b/opalgauge/wire/runtime.py
@@ -0,0 +1,282 @@
+"""Carries out the reducer's effects and reports back what happens: the only place where the two meet."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from datetime import datetime, timedelta
+from typing import Any
+
+from aiohttp import ClientPayloadError, StreamReader
+
+from opalgauge.memory import effects
+from opalgauge.memory.events import (
+    AttemptWriteBlocked,
+    ClientDisconnected,
+    ConnectionLost,
+    ConnectionStale,
+    Event,
+    Progress,
+    RequestBodyEnded,
+    RequestBodyStalled,
+    WakeUpDue,
+)
+from opalgauge.memory.reducer import Reducer
+from opalgauge.wire import quota_counter, server_codec
+from opalgauge.wire.clients import BODY_STALL_TIMEOUT, SERVER_STALL_TIMEOUT, Clients
+from opalgauge.wire.recorder import Recorder
+from opalgauge.wire.server_list import ServerListReader, encode_list_request
+from opalgauge.wire.upstream import (
+    MAX_BODY,
+    MAX_BUFFERED_BODY,
+    MAX_COUNTER_REPLY,
+    MAX_SERVER_LIST,
+    ParseReply,
+    Reply,
+    UpstreamConnection,
+)
+
+MAX_LOGGED_FAULTS = 20  # log lines: a defect that shows at every order must not fill the disk
+
+
+class Runtime:
+    """One ingress's sockets round its reducer."""
+
+    def __init__(
+        self,
+        reducer: Reducer,
+        now: Callable[[], datetime],
+        server_list_reader: ServerListReader,
+        log: Callable[[str], None],
+        on_exit: Callable[[], None],
+    ) -> None:
+        self.reducer, self.now, self.log, self.on_exit = reducer, now, log, on_exit
+        self.server_list_reader = server_list_reader
+        self.loop = asyncio.get_running_loop()
+        self.clients: Clients | None = None
+        self.connections: dict[int, UpstreamConnection] = {}
+        self.connect_tasks: dict[int, asyncio.Task[None]] = {}
+        self.probe_connections: set[int] = set()
+        self.body_tasks: dict[int, asyncio.Task[None]] = {}  # by line: bodies that are passed on as they come
+        self.stream_bodies = True  # long bodies pass through; not where orders pass between cores
+        self.timer: asyncio.TimerHandle | None = None
+        self.event_queue: deque[Event] = deque()
+        self.recorder = Recorder()
+        self.processing = False
+        self.fault_count = 0
+        self.effect_handlers: dict[type, Callable[[Any], None]] = {
+            effects.OpenConnection: self._open_connection,
+            effects.CloseConnection: self._close_connection,
+            effects.SendAttempt: self.send_attempt,
+            effects.SendProbe: self._send_probe,
+            effects.CallCounter: lambda e: self._write(
+                e.connection_id, quota_counter.encode_call(e.name, e.amount, e.ttl)
+            ),
+            effects.AskServerList: lambda e: self._write(
+                e.connection_id, encode_list_request(e.since_version, e.wait)
+            ),
+            effects.AnswerClient: self._answer_client,
+            effects.CloseClient: self._close_client,
+            effects.AbortClient: lambda e: self.clients.abort(e.client_id) if self.clients else None,
+            effects.StopReadingBodies: lambda _: self.clients.stop_reading_bodies() if self.clients else None,
+            # An ingress of one core passes nothing on; `opalgauge.cores` puts its own in their place.
+            effects.DelegateRequest: lambda _: None,
+            effects.WithdrawRequest: lambda _: None,
+            effects.WakeAt: self._wake_at,
+            effects.StopAccepting: lambda _: self.clients.stop_accepting() if self.clients else None,
+            effects.ResumeAccepting: lambda _: self.clients.resume_accepting() if self.clients else None,
+            # Answered and kept where there is an admin endpoint; `opalgauge.console` puts its own here.
+            effects.AnswerStaff: lambda _: None,
+            effects.PersistBans: lambda _: None,
+            # Heard where zones are judged; `opalgauge.zones` puts its own here.
+            effects.ReportAttempt: lambda _: None,
+            effects.ReportServers: lambda _: None,
+            # Heard where state is replicated; `opalgauge.replica` puts its own here.
+            effects.ReplicateBan: lambda _: None,
+            # Heard where leases of quotas are held; `opalgauge.leases` puts its own here.
+            effects.ReportAccount: lambda _: None,
+            effects.AskLeaseHolder: lambda _: None,
+            effects.ReportCounterResult: lambda _: None,
+            effects.StopListening: lambda _: self.clients.stop_listening() if self.clients else None,
+            effects.Exit: lambda _: self.on_exit(),
+            effects.Log: lambda e: self.log(e.text),
+        }
+
+    def start(self) -> None:
+        self._execute(self.reducer.start(self.now()))
+
+    def report(self, event: Event) -> None:
+        """Events are taken one at a time: one that comes while effects are carried out waits for them."""
+        if type(event) is ConnectionLost or type(event) is ConnectionStale:
+            self.connections.pop(event.connection_id, None)
+            self.probe_connections.discard(event.connection_id)
+            self._cancel_body_task(event.connection_id)
+        self.event_queue.append(event)
+        if self.processing:
+            return
+        self.processing = True
+        try:
+            while self.event_queue:
+                event = self.event_queue.popleft()
+                self.recorder.record(event, self.reducer.now)
+                try:
+                    self._execute(self.reducer.step(event, self.now()))
+                except Exception as error:
+                    # Guards all other clients against what one event brings to light; the reducer's guard
+                    # still answers the order that it was about.
+                    self.report_fault(f"{type(event).__name__}: {error!r}")
+        finally:
+            self.processing = False
+
+    def time_until_exit(self) -> timedelta:
+        """Until SIGKILL may come, less the time that an exit takes; of a process that is draining."""
+        drain = self.reducer.state.drain_schedule
+        return timedelta.max if drain is None else max(timedelta(0), drain.exit - self.now())
+
+    def report_fault(self, description: str) -> None:
+        """A defect of the program, told a bounded number of times."""
+        self.fault_count += 1
+        if self.fault_count <= MAX_LOGGED_FAULTS:
+            suffix = "; further ones are not logged" if self.fault_count == MAX_LOGGED_FAULTS else ""
+            self.log(f"fault: {description}{suffix}")
+
+    def _execute(self, requested: list[effects.Effect]) -> None:
+        now = self.reducer.now
+        for effect in requested:
+            self.recorder.record(effect, now)
+            try:
+                self.effect_handlers[type(effect)](effect)
+            except Exception as error:
+                # Guards the answers behind it: the other effects of the same event are still carried out.
+                self.report_fault(f"{type(effect).__name__}: {error!r}")
+
+    # --- connections ---------------------------------------------------------------------------------------
+    def _open_connection(self, effect: effects.OpenConnection) -> None:
+        parse_reply: ParseReply
+        max_body, parse_stream_start = MAX_BUFFERED_BODY, None
+        if effect.destination is effects.Destination.QUOTA_COUNTER:
+            parse_reply, max_body = quota_counter.parse_total, MAX_COUNTER_REPLY
+        elif effect.destination is effects.Destination.SERVER_LIST:
+            parse_reply, max_body = self.server_list_reader.parse_reply, MAX_SERVER_LIST
+        else:
+            parse_reply = self._parse_server_reply
+            parse_stream_start = server_codec.parse_stream_start if self.stream_bodies else None
+        connection = UpstreamConnection(
+            effect.connection_id, self.loop, self.report, parse_reply, max_body, parse_stream_start
+        )
+        self.connections[effect.connection_id] = connection
+        self.connect_tasks[effect.connection_id] = self.loop.create_task(self._connect(effect, connection))
+
+    async def _connect(self, effect: effects.OpenConnection, connection: UpstreamConnection) -> None:
+        try:
+            host, _, port = effect.address.rpartition(":")
+            await self.loop.create_connection(lambda: connection, host, int(port))
+        except (OSError, ValueError, OverflowError):
+            if not connection.closed:
+                connection.closed = True
+                self.report(ConnectionLost(effect.connection_id, Progress.CONNECTING))
+        finally:
+            self.connect_tasks.pop(effect.connection_id, None)
+
+    def _close_connection(self, effect: effects.CloseConnection) -> None:
+        if task := self.connect_tasks.pop(effect.connection_id, None):
+            task.cancel()
+        self.probe_connections.discard(effect.connection_id)
+        self._cancel_body_task(effect.connection_id)
+        if connection := self.connections.pop(effect.connection_id, None):
+            connection.close()
+
+    def _cancel_body_task(self, connection_id: int) -> None:
+        if self.body_tasks and (task := self.body_tasks.pop(connection_id, None)):
+            task.cancel()
+
+    def send_attempt(self, effect: effects.SendAttempt) -> None:
+        if (
+            self.clients is not None
+            and (client_id := self.clients.disconnected_client(effect.request_id)) is not None
+        ):
+            # Guards against an attempt for a client that closed a while ago: a loop that was held up reads
+            # its request first, and its end after that.
+            self.report(AttemptWriteBlocked(effect.connection_id))
+            self.report(ClientDisconnected(client_id))
+            return
+        data = server_codec.encode_attempt(effect.http_request, effect.time_left)
+        if not effect.http_request.has_more_body:
+            self._write(effect.connection_id, data)
+            return
+        connection = self.connections.get(effect.connection_id)
+        body = self.clients.streamed_body(effect.request_id) if self.clients is not None else None
+        if connection is not None and body is not None:
+            connection.sending_body = True
+            connection.send(data)
+            if not connection.closed:
+                self.body_tasks[effect.connection_id] = self.loop.create_task(
+                    self._stream_body(effect, connection, body)
+                )
+
+    async def _stream_body(
+        self, effect: effects.SendAttempt, connection: UpstreamConnection, body: StreamReader
+    ) -> None:
+        """The rest of a body, from its client to the stock node, no faster than either."""
+        chunked, sent = effect.http_request.body_length is None, len(effect.http_request.body)
+        try:
+            while True:
+                async with asyncio.timeout(BODY_STALL_TIMEOUT):
+                    data = await body.readany()
+                if not data:
+                    break
+                sent += len(data)
+                if sent > MAX_BODY:
+                    self.report(RequestBodyStalled(effect.request_id))
+                    return
+                async with asyncio.timeout(SERVER_STALL_TIMEOUT):
+                    await connection.send_body_part(server_codec.encode_chunk(data) if chunked else data)
+            if chunked:
+                await connection.send_body_part(server_codec.LAST_CHUNK)
+            self.report(RequestBodyEnded(effect.request_id))
+            connection.finish_body()
+        except TimeoutError:
+            self.report(RequestBodyStalled(effect.request_id))
+        except (OSError, ValueError, RuntimeError, ClientPayloadError):
+            # The client's framing is no good, or a side has gone.
+            self.report(RequestBodyStalled(effect.request_id))
+        finally:
+            self.body_tasks.pop(effect.connection_id, None)
+
+    def _write(self, connection_id: int, data: bytes) -> None:
+        if connection := self.connections.get(connection_id):
+            connection.send(data)
+
+    def _send_probe(self, effect: effects.SendProbe) -> None:
+        self.probe_connections.add(effect.connection_id)
+        self._write(effect.connection_id, server_codec.PROBE_REQUEST)
+
+    def _parse_server_reply(self, connection_id: int, reply: Reply) -> Event:
+        if connection_id in self.probe_connections:
+            self.probe_connections.discard(connection_id)
+            return server_codec.parse_probe_reply(connection_id, reply)
+        return server_codec.parse_attempt_reply(connection_id, reply)
+
+    # --- the rest ------------------------------------------------------------------------------------------
+    def _answer_client(self, effect: effects.AnswerClient) -> None:
+        if self.clients is not None:
+            connection = (
+                self.connections.get(effect.stream_connection_id) if effect.stream_connection_id else None
+            )
+            stream = connection.stream if connection is not None else None
+            self.clients.answer(effect, stream[1] if stream else None)
+
+    def _close_client(self, effect: effects.CloseClient) -> None:
+        if self.clients is not None:
+            self.clients.close_if_idle(effect.client_id, effect.immediately)
+
+    def _wake_at(self, effect: effects.WakeAt) -> None:
+        if self.timer is not None:
+            self.timer.cancel()
+        delay = max(0.0, (effect.at - self.now()).total_seconds())
+        self.timer = self.loop.call_later(delay, self._on_wake_up)
+
+    def _on_wake_up(self) -> None:
+        self.timer = None
+        self.report(WakeUpDue())
--- a/tests/race_rig.py
+++ b/tests/race_rig.py
@@ -21,10 +21,10 @@
 
 from opalgauge.memory import effects, events
 from opalgauge.memory.reducer import Reducer
-from opalgauge.wire.clients import Clients, Trade
-from opalgauge.wire.exchange import Exchange
-from opalgauge.wire.line import LineProtocol
-from opalgauge.wire.node_list import NodeListReader, read_nodes
+from opalgauge.wire.clients import Clients, RequestCatalog
+from opalgauge.wire.runtime import Runtime
+from opalgauge.wire.server_list import ServerListReader, parse_servers
+from opalgauge.wire.upstream import UpstreamConnection
 from starlinggap import interface
 from tests import harness
 from tests.reducer_rig import SETTINGS, START, ingress_config
@@ -34,7 +34,7 @@
 SETTINGS_WITHOUT_COUNTER = replace(SETTINGS, use_counter=False)
 
 
-class GatedExchange(Exchange):
+class GatedRuntime(Runtime):
     """Opens connections only while the gate is open."""
 
     def __init__(self, *more: Any) -> None:
@@ -42,13 +42,13 @@
         self.gate = asyncio.Event()
         self.gate.set()
 
-    async def _dial(self, effect: effects.OpenConnection, connection: LineProtocol) -> None:
+    async def _connect(self, effect: effects.OpenConnection, connection: UpstreamConnection) -> None:
         try:
             await self.gate.wait()
         except asyncio.CancelledError:
-            self.dials.pop(effect.connection_id, None)
+            self.connect_tasks.pop(effect.connection_id, None)
             raise
-        await super()._dial(effect, connection)
+        await super()._connect(effect, connection)
 
 
 @dataclass
@@ -111,7 +111,7 @@
 class Scene:
     """One ingress with stand-ins for servers, discovery agent and, where it has one, the counter."""
 
-    exchange: GatedExchange
+    runtime: GatedRuntime
     clients: Clients
     servers: list[StandIn]
     server_list: StandIn
@@ -122,12 +122,12 @@
 
     @property
     def state(self) -> Any:
-        return self.exchange.reducer.state
+        return self.runtime.reducer.state
 
     def pass_time(self, duration: timedelta) -> None:
         """Moves the time on and runs the timers that are due by then."""
         self.now += duration
-        self.exchange.report(events.WakeUpDue())
+        self.runtime.report(events.WakeUpDue())
 
     async def connect_client(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         assert self.clients.listener is not None
@@ -175,14 +175,14 @@
     counter = await StandIn().start() if settings.use_counter else None
     if counter is not None:
         changes["counter_address"] = counter.address
-    reader = NodeListReader(())
+    reader = ServerListReader(())
     scenes: list[Scene] = []
     log: list[str] = []
 
     def leave() -> None:
         scenes[0].exited = True
 
-    known = read_nodes(
+    known = parse_servers(
         [{"host": f"s-{n}", "dial": p.address, "health": "in_service"} for n, p in enumerate(servers)], ()
     )
     reducer = Reducer(
@@ -190,26 +190,26 @@
             settings=settings, known_servers=known, server_list_address=server_list.address, **changes
         )
     )
-    exchange = GatedExchange(reducer, lambda: scenes[0].now if scenes else START, reader, log.append, leave)
+    runtime = GatedRuntime(reducer, lambda: scenes[0].now if scenes else START, reader, log.append, leave)
     class_names = [("stock-check", True), ("place-order", False)][: len(settings.classes)]
-    clients = exchange.clients = Clients(
-        Trade(class_names, ["negoce"], 3.0, 2), exchange.report, lambda: True
+    clients = runtime.clients = Clients(
+        RequestCatalog(class_names, ["negoce"], 3.0, 2), runtime.report, lambda: True
     )
-    scenes.append(Scene(exchange, clients, servers, server_list, log, counter=counter))
+    scenes.append(Scene(runtime, clients, servers, server_list, log, counter=counter))
     await clients.listen("127.0.0.1", 0)
-    exchange.start()
+    runtime.start()
     try:
         yield scenes[0]
     finally:
-        exchange.gate.set()
+        runtime.gate.set()
         clients.stop_listening()
-        for connection in list(exchange.lines.values()):
-            connection.end()
+        for connection in list(runtime.connections.values()):
+            connection.close()
         await clients.server.shutdown(timeout=0.1)
         for stand_in in (*servers, server_list, *([counter] if counter is not None else ())):
             stand_in.close()
-        if exchange.timer is not None:
-            exchange.timer.cancel()
+        if runtime.timer is not None:
+            runtime.timer.cancel()
 
 
 async def first_connection(scene: Scene) -> tuple[int, StandInConnection]:
--- a/tests/test_races_attempts.py
+++ b/tests/test_races_attempts.py
@@ -60,7 +60,7 @@
 
 
 def attempts_received(running: Scene) -> int:
-    return sum(len(p.all_connections) for p in running.servers)
+    return sum(len(stand_in.all_connections) for stand_in in running.servers)
 
 
 def assert_nothing_left(running: Scene) -> None:
@@ -73,8 +73,13 @@
         and not state.attempts
     )
     assert not state.streams and not state.clients_sending_body and not state.clients_sending_head
-    assert not clients.waiting and not clients.bodies and not clients.reading and not clients.busy
-    assert not running.exchange.pours
+    assert (
+        not clients.pending
+        and not clients.streamed_bodies
+        and not clients.incomplete_bodies
+        and not clients.busy_connections
+    )
+    assert not running.runtime.body_tasks
     assert not [
         connection
         for connection in state.connections.values()
@@ -105,8 +110,10 @@
             await connection.read_request()
             connection.send(BROKEN_ANSWERS[place])
             if BROKEN_ANSWERS[place]:
-                (protocol,) = [li for li in running.exchange.lines.values() if li.flows is not None]
-                await wait_until(lambda: protocol.heard)
+                (protocol,) = [
+                    li for li in running.runtime.connections.values() if li.parse_stream_start is not None
+                ]
+                await wait_until(lambda: protocol.received)
             connection.reset()
             if idempotency == "safe":
                 _, again = await first_connection(running)
@@ -318,15 +325,15 @@
             answer = await running.send_request(place_request("one"))
             ((old, name, _),) = await read_calls(running, 1)
             moved = running.counter = await type(running.counter)().start()
-            running.exchange.report(AddressesChanged(moved.address, running.state.server_list_address))
+            running.runtime.report(AddressesChanged(moved.address, running.state.server_list_address))
             old.send(total_response(2.0))  # on its way while the connection is closed
             ((new, again, amount),) = await read_calls(running, 1)
             assert (again, amount) == (name, 0.0), "the total is read again, and nothing is charged twice"
             new.send(total_response(2.0))
             reading = asyncio.create_task(read_calls(running, 1))  # of the last window
-            _, node = await first_connection_unless_read(running, reading)
-            await node.read_request()
-            node.send(ok_response(b"one"))
+            _, server_connection = await first_connection_unless_read(running, reading)
+            await server_connection.read_request()
+            server_connection.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
             assert_nothing_left(running)
             moved.close()
@@ -340,11 +347,11 @@
             answer = await running.send_request(place_request("one"))
             ((connection, name, _),) = await read_calls(running, 1)
             running.pass_time(100 * MS)  # past its timeout: the gateway decides without it
-            _, node = await first_connection(running)
-            await node.read_request()
-            node.send(ok_response(b"one"))
+            _, server_connection = await first_connection(running)
+            await server_connection.read_request()
+            server_connection.send(ok_response(b"one"))
             assert (await answer).endswith(b"one")
-            running.exchange.reducer.gateway.call_share = 1.0  # as if the counter worked again
+            running.runtime.reducer.gateway.call_share = 1.0  # as if the counter worked again
             other = await running.send_request(place_request("two"))
             ((same, again, _),) = await read_calls(running, 1)
             assert same is connection and again == name
@@ -358,13 +365,15 @@
             if reading.done():
                 reading.result()[0][0].send(ok_response(b"0"))
             second = (
-                await asyncio.wait_for(node.read_request(), 20) if not running.state.idle_connections else b""
+                await asyncio.wait_for(server_connection.read_request(), 20)
+                if not running.state.idle_connections
+                else b""
             )
             if not second:
                 _, fresh = await first_connection(running)
-                second, node = await fresh.read_request(), fresh
+                second, server_connection = await fresh.read_request(), fresh
             assert b"two" in second
-            node.send(ok_response(b"two"))
+            server_connection.send(ok_response(b"two"))
             assert (await other).endswith(b"two")
             reading.cancel()
             assert_nothing_left(running)
@@ -440,7 +449,7 @@
 
     async def scenario() -> None:
         async with scene() as running:
-            running.exchange.gate.clear()
+            running.runtime.gate.clear()
             _, writer = await running.connect_client()
             whole = harness.request(
                 "POST", "/place-order", b"x" * (buffered + unread), left="2.0", name="one"
@@ -448,7 +457,7 @@
             writer.write(whole[:-unread])
             await wait_until(lambda: running.state.requests)
             writer.write(whole[-unread:])
-            (connection,) = running.clients.numbers
+            (connection,) = running.clients.client_ids
             await wait_until(
                 lambda: connection.transport is not None and not connection.transport.is_reading()
             )
@@ -458,7 +467,7 @@
             else:
                 StandInConnection(asyncio.StreamReader(), writer).reset()
             await wait_until(lambda: not running.state.requests)
-            running.exchange.gate.set()
+            running.runtime.gate.set()
             running.pass_time(100 * MS)
             assert running.state.statistics.attempts == 0
             assert_nothing_left(running)
@@ -471,7 +480,7 @@
     # A client that only ends its sending side looks like one that has closed. A request behind is not read.
     async def scenario() -> None:
         async with scene() as running:
-            running.exchange.gate.clear()
+            running.runtime.gate.clear()
             _, writer = await running.connect_client()
             writer.write(
                 place_request("one") + (place_request("two") if ends == "with a request behind" else b"")
@@ -482,8 +491,8 @@
             else:
                 writer.close()
             await wait_until(lambda: not running.state.requests)
-            running.exchange.gate.set()
-            await wait_until(lambda: not running.clients.numbers)
+            running.runtime.gate.set()
+            await wait_until(lambda: not running.clients.client_ids)
             running.pass_time(100 * MS)
             assert running.state.statistics.attempts == 0
             assert_nothing_left(running)
@@ -501,7 +510,7 @@
             await connection.read_request()
             connection.send(ok_response(b"first"))
             assert (await first).endswith(b"first")
-            await wait_until(lambda: not running.clients.numbers)
+            await wait_until(lambda: not running.clients.client_ids)
             running.pass_time(30 * MS)  # its connection to the server can be used again
             assert running.clients.listener is not None
             # In one turn the loop finds a request and the end of its client's connection.
@@ -510,7 +519,7 @@
             if end == "reset":
                 late.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             late.shutdown(socket.SHUT_WR) if end == "half" else late.close()
-            await wait_until(lambda: running.clients.connection == 2 and not running.clients.numbers)
+            await wait_until(lambda: running.clients.last_client_id == 2 and not running.clients.client_ids)
             assert running.state.statistics.attempts == 1 and not running.state.requests
             ended = asyncio.create_task(connection.reader.read())
             await asyncio.sleep(0)
@@ -532,19 +541,19 @@
                 flood.setblocking(False)
                 flood.send(b"".join(place_request(f"id-{n}-{m}") for m in range(60)))
                 floods.append(flood)
-            await wait_until(lambda: running.clients.connection == 20 and running.state.requests)
+            await wait_until(lambda: running.clients.last_client_id == 20 and running.state.requests)
             assert len(running.state.requests) <= 40
             for flood in floods:
                 flood.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 flood.close()
             # The system decides whether a close or another client's request is read first in a turn of the
             # loop.
-            await wait_until(lambda: not running.clients.numbers)
+            await wait_until(lambda: not running.clients.client_ids)
             answer = await running.send_request(check_request("good").replace(b"b4d65521", b"00000001"))
             good = asyncio.create_task(_answer_with_correlation_id(running))
             assert (await answer).endswith(b"good")
             good.cancel()
-            await wait_until(lambda: not running.state.requests and not running.clients.numbers)
+            await wait_until(lambda: not running.state.requests and not running.clients.client_ids)
             assert_nothing_left(running)
 
     run_scene(scenario)
