--- a/opalgauge/cores/worker.py
+++ b/opalgauge/cores/worker.py
@@ -136,7 +136,9 @@
             effects.DelegateRequest: self._delegate,
             effects.WithdrawRequest: self._withdraw,
         }
-        self.clients = Clients(config.trade, self._on_event, lambda: not self.draining, WorkerClientServer)
+        self.clients = Clients(
+            config.request_catalog, self._on_event, lambda: not self.draining, WorkerClientServer
+        )
         # Long bodies are not streamed: they would have to pass between workers.
         self.runtime.stream_bodies = self.clients.stream_bodies = False
         self.clients.server.worker = self  # type: ignore[attr-defined]
--- a/opalgauge/lifecycle/config.py
+++ b/opalgauge/lifecycle/config.py
@@ -58,7 +58,7 @@
     name: str
     listen: tuple[str, int]
     ingress: IngressConfig
-    trade: RequestCatalog
+    request_catalog: RequestCatalog
     zones: tuple[str, ...]
     class_names: tuple[str, ...] = ()
     admin_address: tuple[str, int] | None = None  # of the admin endpoint; None: there is none
@@ -139,7 +139,7 @@
         server_idle_timeout = timedelta(seconds=settings.idle_timeout * IDLE_TIMEOUT_SHARE)
         settings = replace(settings, idle_timeout=server_idle_timeout.total_seconds())
         sockets = int(platform_config.get("limits", {}).get("sockets", 1024))
-        known = platform_config.get("known") or {}
+        known_list = platform_config.get("known") or {}
         # Half of the descriptors are for clients, and most of the rest for connections to servers.
         max_clients = max(16, sockets // 2)
         max_connections = max(16, sockets - max_clients - RESERVED_SOCKETS)
@@ -157,8 +157,8 @@
                 if platform_config.get("discovery") is not None
                 else environ["BALANCER_DISCOVERY"]
             ),
-            known_list_version=int(known.get("seq", 0)),
-            known_servers=parse_servers(known.get("hosts", ()), zones),
+            known_list_version=int(known_list.get("seq", 0)),
+            known_servers=parse_servers(known_list.get("hosts", ()), zones),
             dial_timeout=timedelta(seconds=DIAL_TIMEOUT_SHARE * dial_timeout),
             server_idle_timeout=server_idle_timeout,
             counter_timeout=timedelta(seconds=settings.counter_timeout),
@@ -173,7 +173,7 @@
             ingress = replace(
                 ingress, list_wait=LIST_WAIT, list_fleet_turn=fleet_turn, list_max_pause=LIST_MAX_PAUSE
             )
-        trade = RequestCatalog(
+        request_catalog = RequestCatalog(
             [(str(c["name"]), c.get("effect") == "retryable") for c in platform_settings["classes"]],
             [str(t["name"]) for t in platform_settings["tiers_of_service"]],
             settings.max_units,
@@ -205,7 +205,7 @@
             str(platform_config.get("name", "")),
             listen,
             ingress,
-            trade,
+            request_catalog,
             zones,
             class_names=tuple(str(c["name"]) for c in platform_settings["classes"]),
             admin_address=_parse_address(str(admin_address)) if admin_address else None,
--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -62,16 +62,16 @@
 
     def __init__(
         self,
-        transport: PeerSocket,
+        peer_socket: PeerSocket,
         services: list[PeerService],
         wait_until_ready: Callable[[], Awaitable[None]] | None,
     ) -> None:
-        self.transport, self.services, self.wait_until_ready = transport, services, wait_until_ready
+        self.peer_socket, self.services, self.wait_until_ready = peer_socket, services, wait_until_ready
 
     async def start(self, listen: tuple[str, int]) -> None:
         """Opens the socket and starts the services. Returns when they are ready for serving to begin."""
         loop = asyncio.get_running_loop()
-        await loop.create_datagram_endpoint(lambda: self.transport, local_addr=listen)
+        await loop.create_datagram_endpoint(lambda: self.peer_socket, local_addr=listen)
         for service in self.services:
             service.start()
         if self.wait_until_ready is not None:
@@ -81,15 +81,15 @@
         """Closes the services and the socket."""
         for service in self.services:
             service.close()
-        self.transport.close()
+        self.peer_socket.close()
 
     def figures(self) -> list[str]:
         """Returns the statistics lines of all services for the admin endpoint."""
         lines = [line for service in self.services for line in service.figures()]
         return [
             *lines,
-            f"peers.words_sent={self.transport.sent}",
-            f"peers.words_dropped={self.transport.dropped}",
+            f"peers.words_sent={self.peer_socket.sent}",
+            f"peers.words_dropped={self.peer_socket.dropped}",
         ]
 
 
@@ -103,7 +103,7 @@
     from opalgauge.wire.peers import PeerSocket
 
     settings, seed = config.ingress.settings, config.ingress.seed
-    transport = PeerSocket(peering.peers, asyncio.get_running_loop().time)
+    peer_socket = PeerSocket(peering.peers, asyncio.get_running_loop().time)
     services: list[PeerService] = []
     if peering.watches_zones:
         from opalgauge.zones.channel import Channel as ZoneChannel
@@ -121,7 +121,7 @@
             peering.acts_on_zones,
         )
         zone_channel = ZoneChannel(
-            zone_rules, transport, peering.secret, seed, runtime.report, clock.now, log
+            zone_rules, peer_socket, peering.secret, seed, runtime.report, clock.now, log
         )
         runtime.effect_handlers[effects.ReportAttempt] = zone_channel.seen
         runtime.effect_handlers[effects.ReportServers] = zone_channel.listed
@@ -137,7 +137,7 @@
             settings.gateway_index, settings.gateways, plans, leases_ahead, grants_to_peers
         )
         lease_channel = LeaseChannel(
-            lease_rules, transport, peering.secret, seed, runtime.report, clock.now, log
+            lease_rules, peer_socket, peering.secret, seed, runtime.report, clock.now, log
         )
         runtime.effect_handlers[effects.ReportAccount] = lease_channel.met
         runtime.effect_handlers[effects.AskLeaseHolder] = lease_channel.asked
@@ -152,7 +152,7 @@
         replica_channel = ReplicaChannel(
             settings.gateway_index,
             settings.gateways,
-            transport,
+            peer_socket,
             peering.secret,
             seed,
             runtime.report,
@@ -167,7 +167,7 @@
             )
         services.append(replica_channel)
         wait_until_ready = replica_channel.ready
-    return PeerServices(transport, services, wait_until_ready)
+    return PeerServices(peer_socket, services, wait_until_ready)
 
 
 async def connect_to_old_process(config: Config, runtime: Runtime, clock: Clock, log: Log) -> HandoverLink:
@@ -221,7 +221,7 @@
     runtime = Runtime(Reducer(config.ingress), clock.now, ServerListReader(config.zones), log, stopped.set)
     ready = draining = False
     link: HandoverLink | None = None
-    clients = runtime.clients = Clients(config.trade, runtime.report, lambda: not draining)
+    clients = runtime.clients = Clients(config.request_catalog, runtime.report, lambda: not draining)
     shared = config.listen_fd is not None  # another process may accept from the same socket
 
     def drain() -> None:
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -310,4 +310,4 @@
     assert (
         never.idempotency is interface.Idempotency.UNSAFE and config.ingress.settings.cross_zone_price == 0.02
     )
-    assert config.ingress.settings.zone == 1 and config.trade.classes["add-order"] == (2, "POST")
+    assert config.ingress.settings.zone == 1 and config.request_catalog.classes["add-order"] == (2, "POST")
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -170,7 +170,7 @@
     assert config.ingress.server_idle_timeout < timedelta(seconds=15)
     assert config.ingress.known_list_version == 41 and len(config.ingress.known_servers) == 1
     assert config.ingress.max_server_connections + config.ingress.max_requests < 1024
-    assert config.trade.classes == {"stock-check": (0, "GET"), "place-order": (1, "POST")}
+    assert config.request_catalog.classes == {"stock-check": (0, "GET"), "place-order": (1, "POST")}
 
 
 @pytest.mark.parametrize(
@@ -336,12 +336,14 @@
     assert config.zones == tuple(deployment["zones"])
     assert settings.idle_timeout < ceilings["conn_idle"]
     assert config.ingress.dial_timeout.total_seconds() <= ceilings["dial_timeout"]
-    assert config.trade.classes == {
+    assert config.request_catalog.classes == {
         c["name"]: (n, "GET" if c["effect"] == "retryable" else "POST")
         for n, c in enumerate(deployment["classes"])
     }
-    assert config.trade.plans == {p["name"]: n for n, p in enumerate(deployment["tiers_of_service"])}
-    assert (config.trade.max_units, config.trade.ingress_count) == (
+    assert config.request_catalog.plans == {
+        p["name"]: n for n, p in enumerate(deployment["tiers_of_service"])
+    }
+    assert (config.request_catalog.max_units, config.request_catalog.ingress_count) == (
         domain["units_top"],
         deployment["balancers"],
     )
