--- a/opalgauge/lifecycle/settings_file.py
+++ b/opalgauge/lifecycle/settings_file.py
@@ -233,7 +233,7 @@
     if settings.get("number") >= settings.get("ingresses"):
         yield (
             f"{_location_of(settings, 'number')}: number {settings.get('number')} "
-            f"must be below ingresses, {settings.get('ingresses')}"
+            f"is out of range for {settings.get('ingresses')} ingresses"
         )
     if "counter" not in settings.statements and settings.get("ingresses") > 1:
         yield (
