--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -120,7 +120,9 @@
             settings.slow_start_share,
             peering.acts_on_zones,
         )
-        zone_driver = ZoneDriver(zone_config, peer_socket, peering.secret, seed, runtime.report, clock.now, log)
+        zone_driver = ZoneDriver(
+            zone_config, peer_socket, peering.secret, seed, runtime.report, clock.now, log
+        )
         runtime.effect_handlers[effects.ReportAttempt] = zone_driver.on_attempt
         runtime.effect_handlers[effects.ReportServers] = zone_driver.on_servers
         services.append(zone_driver)
