--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""The record of what a process did last: asked for, written on a signal, and bounded."""
+"""The record of the last events and effects: bounded, returned on request and written on a signal."""
 
 from __future__ import annotations
 
@@ -58,13 +58,15 @@
 
         with tempfile.TemporaryDirectory() as scratch:
             async with (
-                harness.party(ok) as (server_address, _),
-                harness.party(harness.counter()) as (counter_address, _),
-                harness.party(harness.silent) as (list_address, _),
-                harness.ingress(server_address, counter_address, list_address, scratch=scratch) as ingress,
+                harness.stand_in(ok) as (server_address, _),
+                harness.stand_in(harness.counter()) as (counter_address, _),
+                harness.stand_in(harness.no_response) as (list_address, _),
+                harness.ready_ingress(
+                    server_address, counter_address, list_address, temp_folder=scratch
+                ) as ingress,
             ):
-                await ingress.raw(harness.request("GET", "/stock-check", name="followed"))
-                answer = await ingress.call(b"record\n")
+                await ingress.exchange(harness.request("GET", "/stock-check", correlation_id="followed"))
+                answer = await ingress.call_admin(b"record\n")
                 assert answer.startswith(b"200 record\n") and answer.endswith(b"EOF\n")
                 assert b"id followed" in answer and b"answered 200: a server answered" in answer
                 ingress.process.send_signal(signal.SIGUSR1)
