--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -78,15 +78,17 @@
 class Attempt:
     """One attempt at a server, from its Send action until its Outcome."""
 
-    def __init__(self, request: PendingRequest, server: int, at: float, kept: bool | None) -> None:
+    def __init__(
+        self, request: PendingRequest, server: int, sent_at: float, kept_connection: bool | None
+    ) -> None:
         # sent_at: for a request with a body, when the body was written.
         # kept_connection: True if on a kept idle connection, False on a new one, None on one already in use.
         # is_load: whether it counts as load, which it does while it is timed and not yet overdue.
         self.request, self.server, self.sent_at, self.kept_connection, self.is_load = (
             request,
             server,
-            at,
-            kept,
+            sent_at,
+            kept_connection,
             False,
         )
 
