--- a/starlinggap/brain.py
+++ b/starlinggap/brain.py
@@ -533,8 +533,9 @@
         self.apply_decision(request, within_quota and self.rng.random() < chance)
 
     def admit_chance(self, request: PendingRequest) -> float:
-        """The share of such requests that totals admitted lately: the account's, mixed with the share of all
-        accounts, which weighs as one decision.
+        """The share of such requests that totals admitted lately.
+
+        The account's own, mixed with the share of all accounts, which weighs as one decision.
         """
         account, decay_factor = (
             request.account,
@@ -590,8 +591,9 @@
             self.count_later(request.account, -request.cost, at_once=True)
 
     def retry_after(self, request: PendingRequest) -> float:
-        """How long the client should wait (s): until the bucket holds the cost, and under overload the longer
-        the more is shed, spread out at random.
+        """How long the client should wait before it tries again (s).
+
+        Until the bucket holds the cost; under overload the longer the more is shed, and spread out at random.
         """
         account = request.account
         wait = (
@@ -699,8 +701,10 @@
         return 1 + (server.slowdown - 1) * math.exp((server.last_ok_at - self.now) / DECAY_TIME)
 
     def expected_wait(self, server: Server, request: PendingRequest) -> float:
-        """Expected time at the server, relative to the usual: by its speed, its queue, the age of the oldest
-        attempt there, its weight, the price of another zone, and whether a connection must be opened.
+        """Expected time at the server, relative to the usual.
+
+        It depends on the server's speed, queue and weight, on the age of this gateway's oldest attempt there,
+        on the price of another zone, and on whether a connection must be opened.
         """
         slowness = self.slowness(server)
         if server.in_flight:
@@ -1108,9 +1112,7 @@
         self.close_request(request)
 
     def give_up(self, request: PendingRequest) -> None:
-        """Gives up a request that no server can or may take: refuses it if a repeat does no harm, else fails
-        it.
-        """
+        """Refuses a request that no server can or may take, if a repeat does no harm; else fails it."""
         request.shed_share = request.shed_share or 1.0  # the client is told to wait
         if not request.sent and not request.beyond_quota:
             self.refund(request)
