--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""A whole ingress on loopback, and stand-ins for the parties round it that say what a test wants."""
+"""Runs a whole ingress on loopback, between stand-ins whose answers a test chooses."""
 
 from __future__ import annotations
 
@@ -41,20 +41,24 @@
 
 @dataclass
 class Received:
-    """What a stand-in received: whole requests, and how many connections."""
+    """What a stand-in has received: complete requests, and the number of connections."""
 
     requests: list[bytes] = field(default_factory=list)
     connections: int = 0
-    connection_ended: asyncio.Event = field(
-        default_factory=asyncio.Event
-    )  # a connection was ended by the ingress
+    # Set once the ingress has ended a connection.
+    connection_ended: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 Parameters = ParamSpec("Parameters")
+# Returns the answer to a request, or an awaitable of it; None if there is none.
 Responder = Callable[[bytes, asyncio.StreamWriter], Any]
 
 
 async def read_request(reader: asyncio.StreamReader) -> bytes:
+    """Reads an HTTP message, request or response, up to the end of its body.
+
+    Raises asyncio.IncompleteReadError if the connection ends before.
+    """
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.lower().split(b"\r\n"):
@@ -65,7 +69,10 @@
 
 @contextlib.asynccontextmanager
 async def stand_in(respond: Responder) -> AsyncIterator[tuple[str, Received]]:
-    """A stand-in on a port of its own; `respond` answers each request or does not."""
+    """Runs a stand-in on a free port; yields its address and what it has received.
+
+    `respond` is called with each request and with the writer of its connection.
+    """
     received = Received()
     open_writers: set[asyncio.StreamWriter] = set()
 
@@ -95,7 +102,7 @@
 
 
 def counter() -> Responder:
-    """Keeps the totals of its names."""
+    """A quota counter: adds up what is counted under each name and answers with the total."""
     totals: dict[bytes, float] = {}
 
     def respond(request: bytes, _: asyncio.StreamWriter) -> bytes:
@@ -109,11 +116,13 @@
 
 
 def no_response(_: bytes, __: asyncio.StreamWriter) -> None:
-    """Takes a request and says nothing."""
+    """Leaves the request unanswered."""
 
 
 @dataclass
 class Ingress:
+    """A running ingress process and its configuration."""
+
     address: tuple[str, int]
     process: asyncio.subprocess.Process
     config: dict[str, Any]
@@ -121,7 +130,7 @@
     admin_address: tuple[str, int] = ("", 0)
 
     async def call_admin(self, line: bytes) -> bytes:
-        """What the admin endpoint answers to a call, up to the connection's end."""
+        """Sends a line to the admin endpoint; returns everything until the connection ends, within 20 s."""
         reader, writer = await asyncio.open_connection(*self.admin_address)
         writer.write(line)
         try:
@@ -130,7 +139,7 @@
             writer.close()
 
     async def reconfigure(self, **changes: Any) -> None:
-        """Replaces the configuration's file and says so; returns once that has been logged."""
+        """Rewrites the configuration file, sends SIGHUP and waits until the reload is logged."""
         self.config_path.write_text(json.dumps({**self.config, **changes}))
         self.process.send_signal(signal.SIGHUP)
         assert self.process.stderr is not None
@@ -138,7 +147,10 @@
             assert self.process.returncode is None
 
     async def exchange(self, data: bytes) -> bytes:
-        """What comes back on a connection of its own, up to its end or a whole answer."""
+        """Sends bytes over a new connection and returns the answer.
+
+        Raises asyncio.IncompleteReadError if the connection ends before the answer does.
+        """
         reader, writer = await asyncio.open_connection(*self.address)
         try:
             writer.write(data)
@@ -149,6 +161,7 @@
     async def send_request(
         self, method: str, target: str, body: bytes = b"", extra_headers: str = ""
     ) -> bytes:
+        """Sends a request over a new connection and returns the answer, as `exchange` does."""
         return await self.exchange(request(method, target, body, extra_headers))
 
 
@@ -160,6 +173,10 @@
     time_left: str = "1.0",
     correlation_id: str = "9b1f03aa5c7e2d41",
 ) -> bytes:
+    """Returns the bytes of a request.
+
+    `extra_headers` holds complete lines, each with its line end; `time_left` is in seconds.
+    """
     head = (
         f"{method} {target} HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: {correlation_id}\r\n"
         f"X-Tier: negoce\r\nCookie: customer=00000000b4d65521\r\nX-Time-Left: {time_left}\r\n"
@@ -169,6 +186,7 @@
 
 
 def free_port() -> int:
+    """Returns a TCP port on loopback that nothing listens on."""
     return free_ports(1)[0]
 
 
@@ -183,10 +201,10 @@
     settings: dict[str, Any] = SETTINGS,
     environ: Mapping[str, str] = MappingProxyType({}),
 ) -> AsyncIterator[Ingress]:
-    """The program itself, as `run` starts it, between the given parties.
+    """Starts an ingress as the platform does, and kills it at the end.
 
-    With `listener` the clients' socket is inherited, and `temp_folder` is the folder that its processes
-    share.
+    It inherits the socket `listener` if there is one and listens on `port`, or a free port, otherwise.
+    `temp_folder` is the folder that successive processes of an ingress share.
     """
     port, admin_port = port or free_port(), free_port()
     host = {"host": "s-1", "dial": server_address, "site": "bat-a", "class": "std-2c", "block": 0,
@@ -222,7 +240,10 @@
 def wait_until_ready(
     start: Callable[Parameters, contextlib.AbstractAsyncContextManager[Ingress]],
 ) -> Callable[Parameters, contextlib.AbstractAsyncContextManager[Ingress]]:
-    """The same start, handed over once the program is ready to serve."""
+    """Wraps `start` so that it waits until the ingress logs that it is ready.
+
+    Until then it may log only about bans, the handover and the clock, and pause for 60 s at most.
+    """
 
     @contextlib.asynccontextmanager
     async def start_and_wait(
--- a/tests/shim/__init__.py
+++ b/tests/shim/__init__.py
@@ -1,7 +1,7 @@
-"""System call failures for the program's own processes, by a small library that is preloaded into them.
+"""Makes system calls of ingress processes fail, with a small library that is preloaded into them.
 
-The test and the library share one mapped file: the test says what fails and how often, the library counts
-what it has given. Needs a C compiler and no special rights.
+The test and the library map one control file: the test sets which calls fail and how often, the library
+counts the failures that it injected. Needs a C compiler, but no privileges.
 """
 
 from __future__ import annotations
@@ -24,12 +24,15 @@
 
 
 class CompilerNotFound(RuntimeError):
-    """The tests' machine has no C compiler."""
+    """No C compiler is installed."""
 
 
 @functools.cache
 def compiled_library() -> Path:
-    """The compiled library, made once for all tests of a run."""
+    """Returns the path of the library, compiled once per test run.
+
+    Raises CompilerNotFound, or subprocess.CalledProcessError if it does not compile.
+    """
     compiler = shutil.which("cc") or shutil.which("gcc") or shutil.which("clang")
     if compiler is None:
         raise CompilerNotFound("the tests need a C compiler: cc, gcc or clang")
@@ -42,7 +45,7 @@
 
 
 class Shim:
-    """The faults of one process or of several; `environ` is what makes a process have them."""
+    """The faults of the processes that are started with `environ` in their environment."""
 
     def __init__(self, folder: str, seed: int = 1) -> None:
         self.path = Path(folder) / "shim.control"
@@ -57,12 +60,16 @@
         return FIELD_SIZE * (1 + 3 * FAULTS.index(fault))
 
     def inject(self, fault: str, value: int, percent: int = ALL_CALLS) -> None:
-        """From now on. `value`: errno, bytes, milliseconds or seconds, as the library's source says."""
+        """Injects a fault into `percent` of the calls, until `stop`.
+
+        `value` is an errno, bytes, milliseconds or seconds, as `struct control` in shim.c says.
+        """
         struct.pack_into("qq", self.control, self._offset(fault), value, percent)
 
     def stop(self, fault: str) -> None:
+        """Stops injecting a fault."""
         struct.pack_into("qq", self.control, self._offset(fault), 0, 0)
 
     def injected_count(self, fault: str) -> int:
-        """How often the library has given it."""
+        """Returns how often the library has injected a fault."""
         return int(struct.unpack_from("q", self.control, self._offset(fault) + 2 * FIELD_SIZE)[0])
--- a/tests/shim/shim.c
+++ b/tests/shim/shim.c
@@ -1,7 +1,7 @@
-/* A library that the tests preload into the program's own processes: system calls fail as Linux documents.
+/* Preloaded by the tests into ingress processes: makes system calls fail in ways that Linux documents.
  *
- * What fails, and how often, stands in a file that the test maps as well (tests/shim/__init__.py has the same
- * layout). Every fault that was given is counted there, so that a test can show that it reached the program.
+ * Which calls fail, and how often, is set in a control file that the test maps as well; tests/shim/__init__.py
+ * has the same layout. Each injected fault is counted there, so that a test can show that it reached the process.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -20,18 +20,18 @@
 #include <unistd.h>
 
 struct fault {
-    int64_t value;    /* errno; 0: off */
-    int64_t percent;  /* of the calls */
-    int64_t injected; /* so many times by now */
+    int64_t value;    /* errno, unless said otherwise; 0: off */
+    int64_t percent;  /* percentage of the calls that get it */
+    int64_t injected; /* number of times it was injected */
 };
 
 struct control {
     int64_t seed;
     struct fault accept, socket, connect, read, write;
-    struct fault short_read, short_write; /* `value`: bytes at most */
-    struct fault delay_write;             /* `value`: milliseconds, before a write to a socket */
+    struct fault short_read, short_write; /* `value`: maximum number of bytes */
+    struct fault delay_write;             /* `value`: milliseconds to sleep before a write to a socket */
     struct fault wall_clock;              /* `value`: seconds that the wall clock is ahead */
-    struct fault file_system;             /* opens for writing, writes and renames of regular files */
+    struct fault file_system;             /* opening for writing, and write, fsync and rename of regular files */
 };
 
 static struct control *control;
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -11,11 +11,11 @@
 
 from tests.soak.run import Outcome, run_seed
 
-MAX_PRINTED_DETAILS = 3  # told of each rule that a seed breaks
+MAX_PRINTED_DETAILS = 3  # violations printed per rule and seed
 
 
 def print_outcome(outcome: Outcome, command: str) -> None:
-    """One line a seed, and the whole line of what is broken."""
+    """Prints one line for the seed, then the details of its violations and the command that repeats it."""
     ends = ", ".join(f"{end_name.lower()} {count}" for end_name, count in sorted(outcome.ends.items()))
     statuses = ", ".join(f"{code}: {count}" for code, count in sorted(outcome.statuses.items()))
     rules = Counter(violation.rule for violation in outcome.violations)
@@ -36,6 +36,7 @@
 
 
 def main() -> int:
+    """Runs the seeds given on the command line; returns the exit status, 1 if any of them broke a rule."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
     parser.add_argument("--seeds", type=int, default=1, help="how many, one after the other")
--- a/tests/soak/checker.py
+++ b/tests/soak/checker.py
@@ -1,7 +1,7 @@
-"""Judges a run from its records. Shares no code with the program.
+"""Checks the records of a run against rules. Shares no code with the program under test.
 
-Each rule gives the whole line of every request, server or process that breaks it. What the stand-ins were
-held up themselves (`Records.lag`) is taken off in the program's favour: their own times may be late by it.
+Each rule yields a violation for every request, server or process that breaks it. The times that the stand-ins
+recorded may be late by the lag of their event loop (`Records.lag`), so every bound is extended by it.
 """
 
 from __future__ import annotations
@@ -13,24 +13,26 @@
 
 from tests.soak.records import AttemptRecord, Effect, End, Limits, Records, RequestRecord, ServerRecord
 
-ANSWER_GRACE = 0.5  # s beyond its client's time: an answer after that is lost
-CLOSE_GRACE = 0.1  # s after a client's close in which an attempt may still begin
-DEADLINE_SLACK = 0.15  # s that a server may be told beyond what its client has left
-KILL_GRACE = 0.7  # s
-MAX_COUNTED_DEADLINE = 3.0  # s
-SMALL_BUDGET = 30  # requests: under it a server in slow start has the wider margin
+ANSWER_GRACE = 0.5  # s past the client's deadline after which an answer counts as lost
+CLOSE_GRACE = 0.1  # s after a client closed in which an attempt may still begin
+DEADLINE_SLACK = 0.15  # s by which the time stated to a server may exceed what the client has left
+KILL_GRACE = 0.7  # s from the longest deadline until SIGKILL
+MAX_COUNTED_DEADLINE = 3.0  # s; the platform waits no longer for longer deadlines
+SMALL_BUDGET = 30  # requests; a smaller slow start budget gets a wider statistical margin
 REFUSAL_STATUSES = (429, 503)
-NETWORK_MARGIN = 0.05  # s for the way between the parties
+NETWORK_MARGIN = 0.05  # s for the transfer between two processes
 
 
 @dataclass(frozen=True)
 class Violation:
+    """A broken rule, and the records that show it."""
+
     rule: str
     details: str
 
 
 def kill_delay(longest_deadline: float) -> float:
-    """The least time between SIGTERM and SIGKILL."""
+    """Seconds that the platform waits at least between SIGTERM and SIGKILL."""
     return min(longest_deadline, MAX_COUNTED_DEADLINE) + KILL_GRACE
 
 
@@ -42,7 +44,10 @@
 
 
 def check_answers(records: Records) -> Iterator[Violation]:
-    """Every request has its final answer in time, unless its client left or a close crossed it unread."""
+    """Every request gets its final answer in time.
+
+    Excepted are those whose client left, and those sent while the ingress closed the connection unread.
+    """
     attempts = _attempts_by_request(records)
     for request in records.requests:
         reached_server = request.name in attempts
@@ -58,8 +63,11 @@
 
 
 def check_repeats(records: Records) -> Iterator[Violation]:
-    """What must not run twice does not, and no second copy is out beside a first. What has a key runs again
-    where the second server doesn't know the key, or has forgotten it."""
+    """No request runs twice if that is unsafe, and no second attempt starts while the first is open.
+
+    A request with an idempotency key may be repeated, but not where a server that doesn't know the key, or
+    has forgotten it, would run it again.
+    """
     effects = {request.name: request.effect for request in records.requests}
     for name, attempts in _attempts_by_request(records).items():
         if name not in effects:
@@ -75,7 +83,7 @@
 
 
 def check_refusals(records: Records) -> Iterator[Violation]:
-    """A refusal promises that nothing has run."""
+    """An unsafe request that was refused has not run anywhere."""
     attempts = _attempts_by_request(records)
     for request in records.requests:
         if request.status in REFUSAL_STATUSES and request.effect is Effect.UNSAFE:
@@ -84,7 +92,7 @@
 
 
 def check_closed_clients(records: Records) -> Iterator[Violation]:
-    """No attempt begins for a client that has closed."""
+    """No attempt begins after the client has closed its connection."""
     client_closed = {r.name: r for r in records.requests if r.end is End.LEFT}
     for attempt in records.attempts:
         request = client_closed.get(attempt.name)
@@ -93,7 +101,7 @@
 
 
 def check_deadlines(records: Records) -> Iterator[Violation]:
-    """A server is told no more time than its client has left."""
+    """The time stated to a server is no more than the client has left."""
     requests = {r.name: r for r in records.requests}
     for attempt in records.attempts:
         request = requests.get(attempt.name)
@@ -105,7 +113,7 @@
 
 
 def check_draining_servers(records: Records) -> Iterator[Violation]:
-    """A server that was said to drain gets nothing new."""
+    """A server that drains gets no new attempts."""
     servers = {server.server: server for server in records.servers}
     requests = {r.name: r for r in records.requests}
     for attempt in records.attempts:
@@ -118,14 +126,17 @@
 
 
 def slow_start_budget(share: float, capacity: float, limits: Limits) -> float:
-    """The most requests that a server in slow start bears within the time that the settings name."""
+    """The number of requests that a server in slow start may get within `limits.collapse_time`.
+
+    A margin of two or three standard deviations allows for random arrivals.
+    """
     allowed = limits.collapse_ratio * share * capacity * limits.collapse_time
     margin = 2 * math.sqrt(allowed) + 2 if allowed >= SMALL_BUDGET else 3 * math.sqrt(allowed) + 3
     return allowed + margin
 
 
 def check_slow_start(records: Records) -> Iterator[Violation]:
-    """All instances and processes together keep to the budget of a server that has just started."""
+    """All instances and processes together keep to the budget of a server in slow start."""
     limits = records.limits
     for server in records.servers:
         if server.started == -math.inf:
@@ -149,7 +160,7 @@
 
 
 def check_processes(records: Records) -> Iterator[Violation]:
-    """No process crashes, is late to be ready, tells of a defect of its own or passes its limits."""
+    """No process crashes, becomes ready late, reports an internal error or exceeds its limits."""
     limits = records.limits
     for process in records.processes:
         stop_began = min(process.asked, process.killed)
@@ -173,12 +184,12 @@
 
 
 def check_records(records: Records) -> list[Violation]:
-    """All that is broken, rule by rule."""
+    """Returns all violations, rule by rule."""
     return [violation for rule in RULES for violation in rule(records)]
 
 
 def ended_at_kill(records: Records, violation: Violation) -> bool:
-    """Whether a lost request ended as a process of its instance was killed."""
+    """Whether the violation is a lost request that ended when a process was killed."""
     if violation.rule != "lost":
         return False
     kill_times = [p.killed for p in records.processes if p.killed < math.inf]
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,7 @@
-"""Clients of one instance: they keep connections, use them up to the kill, and some leave early."""
+"""The clients of one instance.
+
+They keep connections open and use them until a process is killed; some leave before their answer.
+"""
 
 from __future__ import annotations
 
@@ -15,27 +18,29 @@
 from tests.soak.records import Effect, End, RequestRecord
 
 CONTENT_LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
-LEAVING_SHARE = 0.06  # of the requests: the client leaves before its answer
-SLOW_WRITE_SHARE = 0.03  # of the requests: written in two parts
+LEAVING_SHARE = 0.06  # share of the requests whose client leaves before the answer
+SLOW_WRITE_SHARE = 0.03  # share of the requests that are written in two parts
 ACCOUNTS = 40
-EXTRA_WAIT = 1.0  # s beyond the time after which an answer is lost: it may still tell that it came late
-LONG_BODY_SHARE = 0.02  # of the bodies
-MAX_BODY_BYTES = 300_000  # bytes
-MAX_HELD_ANSWER_BYTES = 64 * 1024  # bytes: a longer answer is passed on while it comes
-SLOW_WRITE_PAUSE = 0.05  # s between the parts of a request that is written slowly
+EXTRA_WAIT = 1.0  # s past the time after which an answer is lost, to tell late answers from lost ones
+LONG_BODY_SHARE = 0.02  # share of the bodies
+MAX_BODY_BYTES = 300_000
+MAX_HELD_ANSWER_BYTES = 64 * 1024  # the ingress forwards a longer answer while it arrives
+SLOW_WRITE_PAUSE = 0.05  # s between the two parts of a request
 
 
 class Connection:
-    """One connection of a client's."""
+    """A client's connection; `used` once it has carried an answered request."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.used = reader, writer, False
 
     @property
     def closed(self) -> bool:
+        """Whether either side has closed the connection."""
         return self.reader.at_eof() or self.writer.is_closing()
 
     def close(self) -> None:
+        """Closes the connection."""
         self.writer.close()
 
 
@@ -57,10 +62,10 @@
         self.idle_sockets: list[socket.socket] = []
         self.request_numbers = itertools.count()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.receives_connections = True  # new connections are dealt to this instance
+        self.receives_connections = True  # the load balancer in front sends new connections to this instance
 
     async def run(self, end_time: float) -> None:
-        """Asks at the drawn rate, whatever has come of what was asked before."""
+        """Sends requests at the drawn rate, without waiting for the answers to earlier ones."""
         rate = self.deployment.rate / self.deployment.instances
         while self.now() < end_time:
             await asyncio.sleep(self.rng.expovariate(rate))
@@ -80,7 +85,7 @@
         return None
 
     async def open_idle_connections(self, count: int) -> None:
-        """Connections that ask nothing and stay."""
+        """Opens connections that stay open and send nothing."""
         for _ in range(count):
             idle_socket = socket.socket()
             idle_socket.setblocking(False)
@@ -109,7 +114,7 @@
             try:
                 connection = Connection(*await asyncio.open_connection(*self.address))
             except OSError:
-                return  # refused: the front learns of it
+                return  # refused: no process accepts connections
         name = f"{self.deployment.seed}-{self.instance}-{next(self.request_numbers)}"
         remaining = self._request_bytes(name, request_class)
         reused = connection.used
@@ -145,7 +150,10 @@
             await self._send_request(None, name)
 
     async def _receive_answer(self, connection: Connection, request: RequestRecord, timeout: float) -> bool:
-        """Waits for the answer; writes down how the exchange ended, unless its time is simply up."""
+        """Waits for the answer, for `timeout` s at most, and records how the exchange ended.
+
+        Returns whether the answer came whole. With a timeout of 0 nothing is recorded if no answer is there.
+        """
         received = b""
         try:
             async with asyncio.timeout(timeout):
@@ -178,7 +186,7 @@
         return True
 
     async def finish(self) -> None:
-        """Waits for all that is still out, then closes everything."""
+        """Waits until all exchanges have ended, then closes every connection."""
         if self.tasks:
             await asyncio.wait(set(self.tasks))
         for connection in self.idle:
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,4 +1,4 @@
-"""What a run is drawn from its seed: a deployment, and the faults that cross in it."""
+"""The deployment of a run and its kinds of faults, drawn from the seed."""
 
 from __future__ import annotations
 
@@ -10,20 +10,23 @@
 
 ZONES = ("east", "west")
 MANY_SERVERS = 100
-TRAFFIC_SECONDS = 12.0  # s of traffic
+TRAFFIC_SECONDS = 12.0
 MAX_UNITS = 3
 
 
 @dataclass(frozen=True)
 class RequestClass:
+    """A request class; times in seconds."""
+
     name: str
     effect: Effect
     aim: float
     deadline: float
-    dedup_window: float = 0.0  # s for which servers know a key
-    dedup_per_zone: bool = False  # only those of one zone know each other's keys
+    dedup_window: float = 0.0  # time for which servers remember an idempotency key
+    dedup_per_zone: bool = False  # only the servers of one zone share their keys
 
     def settings(self) -> dict[str, Any]:
+        """Returns the class's entry in the settings."""
         return {
             "name": self.name, "aim": self.aim, "deadline": self.deadline, "credit": 2.0,
             "effect": self.effect.value, "window": self.dedup_window,
@@ -33,20 +36,21 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """The drawn figures; `told` gives them in the platform's words."""
+    """The drawn figures; `settings` returns them under the names that the platform uses."""
 
     seed: int
     classes: tuple[RequestClass, ...]
     instances: int
     servers: int
-    capacity: float  # requests a second of a warm server
-    rate: float  # requests a second of all clients together
+    capacity: float  # requests/s of a server after slow start
+    rate: float  # requests/s of all clients together
     limits: Limits
-    idle_crowd: bool  # idle clients hold all the descriptors that they can
-    system_call_faults: bool  # system calls fail now and then
-    rolling_upgrades: bool  # a new process stands beside the old one at each restart
+    idle_crowd: bool  # idle clients hold as many descriptors as they can get
+    system_call_faults: bool  # system calls of the ingress processes fail at times
+    rolling_upgrades: bool  # at a restart, the new process starts while the old one still serves
 
     def settings(self, instance: int) -> dict[str, Any]:
+        """Returns the settings of one instance."""
         limits = self.limits
         return {
             "balancers": self.instances, "me": instance, "tick": 0.002, "zone": 0, "zones": list(ZONES),
@@ -67,6 +71,7 @@
 def draw_deployment(
     seed: int, idle_crowd: bool | None = None, system_call_faults: bool | None = None
 ) -> Deployment:
+    """Draws a deployment. `idle_crowd` and `system_call_faults` replace what the seed would give."""
     rng = random.Random(seed)
     longest_deadline = rng.choice([0.4, 1.0, 2.0, 3.0, 5.0])
     classes = []
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,4 +1,4 @@
-"""The program's own processes in a run: starts, upgrades, signals and the kill at its earliest."""
+"""The ingress processes of a run: starts, upgrades, signals, and SIGKILL at the earliest allowed time."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from tests.soak.stand_ins import Discovery
 
 ROOT = Path(__file__).parent.parent.parent
-SAMPLE_INTERVAL = 0.25  # s between looks at what a process holds
+SAMPLE_INTERVAL = 0.25  # s between samples of a process's descriptors and memory
 READY_TIMEOUT = 15.0  # s
-SUSPEND_DURATION = 0.12  # s that a process is held up by SIGSTOP
+SUSPEND_DURATION = 0.12  # s between SIGSTOP and SIGCONT
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 class Process:
-    """One process, and what was seen of it."""
+    """An ingress process; fills its record from its log and from /proc."""
 
     def __init__(
         self, record: ProcessRecord, handle: asyncio.subprocess.Process, now: Callable[[], float]
@@ -50,7 +50,7 @@
         self.ready.set()
 
     async def _sample_resources(self) -> None:
-        """What it holds, now and then."""
+        """Records the most descriptors and memory that the process holds."""
         folder = Path(f"/proc/{self.handle.pid}")
         while self.handle.returncode is None:
             with contextlib.suppress(OSError, IndexError, ValueError):
@@ -60,12 +60,13 @@
             await asyncio.sleep(SAMPLE_INTERVAL)
 
     def send_signal(self, number: int) -> None:
+        """Sends a signal, unless the process has ended."""
         if self.handle.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.handle.send_signal(number)
 
     async def stop(self, longest_deadline: float) -> None:
-        """SIGTERM, and SIGKILL at the earliest that the platform allows."""
+        """Sends SIGTERM, and SIGKILL as early as the platform may; waits for the end."""
         self.record.asked = self.now()
         self.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
@@ -73,6 +74,7 @@
         await self.kill()
 
     async def kill(self) -> None:
+        """Sends SIGKILL, unless the process has ended, and waits for its end."""
         if self.handle.returncode is None:
             self.record.killed = self.now()
             self.send_signal(signal.SIGKILL)
@@ -81,13 +83,14 @@
         self.tasks[1].cancel()
 
     async def suspend(self) -> None:
+        """Stops the process for SUSPEND_DURATION."""
         self.send_signal(signal.SIGSTOP)
         await asyncio.sleep(SUSPEND_DURATION)
         self.send_signal(signal.SIGCONT)
 
 
 class Instance:
-    """One ingress over all of its processes."""
+    """An ingress, over all processes that serve it one after the other."""
 
     def __init__(
         self,
@@ -116,6 +119,7 @@
         self.log_lines: list[str] = []
 
     def configure(self, agent: Discovery, counter: str) -> None:
+        """Prepares the configuration; `counter` is the address of the quota counter."""
         limits, self.agent = self.deployment.limits, agent
         self.config = {
             "name": f"n{self.number}", "listen": f"127.0.0.1:{self.address[1]}", "discovery": agent.address,
@@ -126,7 +130,7 @@
         self.folder.mkdir(exist_ok=True)
 
     async def start(self) -> Process:
-        """A process that is ready, or has had its time to be."""
+        """Starts a process and waits until it is ready, for READY_TIMEOUT at most."""
         process = await self._spawn()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(process.ready.wait(), READY_TIMEOUT)
@@ -153,10 +157,11 @@
         return Process(record, handle, self.now)
 
     async def start_first(self) -> None:
+        """Starts the instance's first process."""
         self.current = await self.start()
 
     async def upgrade(self) -> None:
-        """A new process beside the old one, which is told to stop when the new one is ready."""
+        """Starts a new process beside the old one, and stops the old one once the new one is ready."""
         old, new = self.current, await self.start()
         self.current = new
         if old is not None:
@@ -164,9 +169,9 @@
             self.log_lines += old.log_lines
 
     async def failed_upgrade(self, delay: float) -> None:
-        """A new process that is killed while it starts; the old one serves on and is told nothing.
+        """Starts a new process and kills it `delay` s later; the old one serves on.
 
-        One that has come to be ready by then may hold requests, and is told to stop like any other.
+        A new process that is ready by then may hold requests, so it is stopped with SIGTERM instead.
         """
         new = await self._spawn()
         with contextlib.suppress(TimeoutError):
@@ -177,7 +182,10 @@
             await new.kill()
 
     async def abandoned_upgrade(self, delay: float, on_all_stopping: Callable[[], None]) -> None:
-        """The new process is told to stop as well, soon after the old one; a third takes their place."""
+        """Starts a new process, stops the old one and `delay` s later the new one, and starts a third.
+
+        `on_all_stopping` is called when no process is left that was not told to stop.
+        """
         old, new = self.current, await self.start()
         longest_deadline = self.deployment.limits.longest_deadline
         stopping = [asyncio.create_task(old.stop(longest_deadline))] if old is not None else []
@@ -190,7 +198,7 @@
             self.log_lines += process.log_lines if process is not None else []
 
     async def restart(self) -> None:
-        """The process is stopped, and started again when it has ended."""
+        """Stops the process, and starts a new one after its end."""
         old = self.current
         if old is not None:
             await old.stop(self.deployment.limits.longest_deadline)
@@ -198,6 +206,7 @@
         self.current = await self.start()
 
     async def shut_down(self) -> None:
+        """Stops the current process and closes the listening socket."""
         if self.current is not None:
             await self.current.stop(self.deployment.limits.longest_deadline)
             self.log_lines += self.current.log_lines
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,7 +1,7 @@
-"""Proxies on the paths from the program to its servers, counter and discovery agents, which can go wrong.
+"""Proxies that inject faults between the ingress and its servers, counter and discovery agents.
 
-A proxy notes when the bytes of each request came from the program, so that the checker judges the program and
-not the path.
+A proxy records when the bytes of each request arrived from the ingress, so that the checker measures the
+ingress and not the path.
 """
 
 from __future__ import annotations
@@ -19,70 +19,77 @@
 
 READ_SIZE = 65_536
 PATH_DELAY = 0.03  # s
-RESET_SHARE = 0.3  # of the times that something is sent over a path that resets
-LATE_DIAL_DELAY = 0.4  # s
-FLUSH_TIMEOUT = 0.02  # s for what one side has sent before it closed
+RESET_SHARE = 0.3  # share of the chunks on a path with resets at which the connection is reset
+LATE_DIAL_DELAY = 0.4  # s until the proxy connects to its target
+FLUSH_TIMEOUT = 0.02  # s for forwarding what one side sent before it closed
 PIECE_PAUSE = 0.002  # s between two pieces
 
 
 class PathFault(Enum):
-    """What a path does to the connections over it."""
+    """What a path does to its connections."""
 
     NONE = "none"
-    DELAY = "delay"  # every byte comes later
-    PIECES = "pieces"  # bytes come a few at a time
-    LATE_DIAL = "late dial"  # a connection is up, and nobody is at its other end for a while
-    STALL = "stall"  # bytes wait until the path is well again
-    RESET = "reset"  # a connection ends under what is sent over it
+    DELAY = "delay"  # every byte arrives later
+    PIECES = "pieces"  # bytes arrive a few at a time
+    LATE_DIAL = "late dial"  # connections are accepted, but connected to the target only later
+    STALL = "stall"  # bytes are held until the fault ends
+    RESET = "reset"  # connections are reset while something is sent
 
 
-LOSSLESS_FAULTS = (PathFault.DELAY, PathFault.PIECES)  # what is sent still comes, and soon
+LOSSLESS_FAULTS = (PathFault.DELAY, PathFault.PIECES)  # everything sent still arrives, and soon
 
 
 @dataclass
 class ArrivalTimes:
-    """When the bytes of the request that is being sent came: the first and the last so far."""
+    """When the first byte of the current request arrived, and its last one so far."""
 
     first: float = math.inf
     last: float = -math.inf
 
 
 class Proxy:
-    """A listening address that stands for another one."""
+    """Listens on an address of its own and forwards connections to its target."""
 
     def __init__(self, target: str, now: Clock, rng: random.Random) -> None:
         self.target, self.now, self.rng = target, now, rng
         self.fault = PathFault.NONE
         self.not_stalled = asyncio.Event()
         self.not_stalled.set()
-        self.arrivals: dict[int, ArrivalTimes] = {}  # by the port from which the target is dialled
-        self.resets: set[int] = set()  # ports of connections that were reset here
+        self.arrivals: dict[int, ArrivalTimes] = {}  # by the local port of the connection to the target
+        self.resets: set[int] = set()  # ports of connections that this proxy has reset
         self.tasks: set[asyncio.Task[None]] = set()
         self.listener: asyncio.Server | None = None
         self.address = ""
 
     async def open(self) -> None:
+        """Starts to listen and sets `address`."""
         self.listener = await asyncio.start_server(self._serve_connection, "127.0.0.1", 0, backlog=512)
         host, port = self.listener.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     def close(self) -> None:
+        """Stops listening and ends all connections."""
         if self.listener is not None:
             self.listener.close()
         for task in list(self.tasks):
             task.cancel()
 
     def start_fault(self, fault: PathFault) -> None:
+        """Applies a fault to all connections, until `end_fault`."""
         self.fault = fault
         if fault is PathFault.STALL:
             self.not_stalled.clear()
 
     def end_fault(self) -> None:
+        """Ends the fault; stalled bytes are forwarded."""
         self.fault = PathFault.NONE
         self.not_stalled.set()
 
     def take_arrival(self, port: int) -> ArrivalTimes | None:
-        """When the request came that the target has just read whole; the next one is noted anew."""
+        """Returns the arrival times of the request that the target has just read, and clears them.
+
+        `port` is the peer port that the target sees. None if no request is on record.
+        """
         found = self.arrivals.get(port)
         if found is None or found.first == math.inf:
             return None
@@ -91,7 +98,10 @@
         return completed
 
     def take_reset(self, port: int) -> bool:
-        """Told once: the port will be another connection's."""
+        """Whether the connection from this port was reset.
+
+        True only once, as another connection may get the port.
+        """
         found = port in self.resets
         self.resets.discard(port)
         return found
@@ -132,7 +142,7 @@
     async def _receive(
         self, reader: asyncio.StreamReader, queue: asyncio.Queue[bytes], arrival: ArrivalTimes | None
     ) -> None:
-        """Reads at once, whatever the path does, and notes when it came."""
+        """Reads without delay, whatever the fault, and records the arrival times."""
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_SIZE):
                 if arrival is not None:
@@ -141,7 +151,7 @@
                 queue.put_nowait(data)
 
     async def _forward(self, queue: asyncio.Queue[bytes], writer: asyncio.StreamWriter, port: int) -> None:
-        """One direction, until it is reset."""
+        """Forwards one direction, until the connection is reset."""
         with contextlib.suppress(OSError):
             while True:
                 data = await queue.get()
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -1,6 +1,7 @@
-"""What the stand-ins write down in a run. The program's own logs and figures are no part of it.
+"""What the stand-ins record during a run, independently of the ingress's own logs and statistics.
 
-All times are seconds on the run's own clock.
+All times are in seconds on the clock of the run. The runner prints request, attempt and process records as
+they are, so their fields and the members of `Effect` and `End` are part of its output.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class Effect(Enum):
-    """What it means if a request of a class runs twice."""
+    """What running a request of a class twice does, with the values that the settings have for it."""
 
     SAFE = "retryable"
     KEYED = "dedup"
@@ -19,96 +20,97 @@
 
 
 class End(Enum):
-    """How a client's exchange ended."""
+    """How an exchange ended, as its client saw it."""
 
     ANSWERED = "answered"
     LOST = "connection ended with no whole answer"
-    UNHEARD = "a kept connection ended before anything came"  # its client asks once more over a new one
-    CUT = "an answer too long to be held broke off"  # only where the server's own answer did
+    UNHEARD = "a kept connection ended before anything came"  # its client repeats it over another
+    CUT = "an answer too long to be held broke off"  # allowed only where the server's answer did so too
     LEFT = "the client left"
     NEVER_SENT = "the connection had ended before the request was written"
 
 
 @dataclass
 class RequestRecord:
-    """One request of one client over one connection."""
+    """A request that a client sent over one connection."""
 
     name: str
     effect: Effect
     instance: int
-    sent: float  # its last byte was written
-    waits: float  # seconds that its client waits
-    kept: bool  # the connection had carried another
+    sent: float  # when its last byte was written
+    waits: float  # the client's deadline, in seconds from then
+    kept: bool  # the connection had carried an earlier request
     end: End | None = None
     status: int = 0
     ended: float = math.inf
-    repeats: str = ""  # the request that it repeats, because a closed connection crossed that one
+    repeats: str = ""  # name of the request that it repeats: the ingress closed that one's connection unread
 
 
 @dataclass
 class AttemptRecord:
-    """One request that reached a server whole."""
+    """A request that reached a server completely."""
 
     name: str
     server: int
-    began: float  # its first byte
-    whole: float
-    time_left: float  # as the ingress told it
-    ran: bool  # False: turned away unprocessed, or dropped as a repeat whose key is known
-    ended: float = math.inf  # answered, or its connection ended
-    harmed: bool = False  # its connection was ended by the server, or on the way
+    began: float  # when its first byte arrived
+    whole: float  # when its last byte arrived
+    time_left: float  # seconds, as the ingress stated it
+    ran: bool  # False if it was rejected unprocessed, or dropped as a repeat of a known idempotency key
+    ended: float = math.inf  # when it was answered, or its connection ended
+    harmed: bool = False  # the server or the path broke its connection off
 
 
 @dataclass
 class ServerRecord:
-    """One life of a server."""
+    """A server, from its start on."""
 
     server: int
-    capacity: float  # requests a second when warm
-    started: float  # -inf: long before the run
+    capacity: float  # requests/s after slow start
+    started: float  # -inf if it started long before the run
     drain_told: dict[int, float] = field(
         default_factory=dict
-    )  # by instance: when it was told to stop sending
+    )  # by instance: when it was told that the server drains
 
 
 @dataclass
 class ProcessRecord:
-    """One process of the program."""
+    """An ingress process."""
 
     instance: int
     began: float
     ready: float = math.inf
-    asked: float = math.inf  # SIGTERM
-    killed: float = math.inf  # SIGKILL
+    asked: float = math.inf  # when it got SIGTERM
+    killed: float = math.inf  # when it got SIGKILL
     ended: float = math.inf
     code: int | None = None
-    faults: int = 0  # lines of its log that tell of a defect
-    descriptors: int = 0  # most that were seen
-    memory_mb: float = 0.0
+    faults: int = 0  # log lines that report an internal error
+    descriptors: int = 0  # highest number sampled
+    memory_mb: float = 0.0  # highest resident size sampled
 
 
 @dataclass
 class Limits:
-    """The deployment's figures that the rules depend on."""
+    """The figures of the deployment that the rules depend on; times in seconds."""
 
     longest_deadline: float
-    slow_start_duration: float  # s of slow start
-    slow_start_share: float  # share of the capacity at its beginning
-    collapse_time: float  # s
+    slow_start_duration: float
+    slow_start_share: float  # share of its capacity that a server has at the start
+    # A server fails when it gets `collapse_ratio` times its capacity for `collapse_time`.
+    collapse_time: float
     collapse_ratio: float
-    stop_sending_time: float  # s after a server was told to drain
+    stop_sending_time: float  # from the news that a server drains until it gets no further attempt
     descriptors: int
     memory_mb: float
-    max_start_time: float = 10.0  # s from a start until it serves
+    max_start_time: float = 10.0  # from the start of a process until it serves
 
 
 @dataclass
 class Records:
-    """All of one run."""
+    """Everything recorded in one run."""
 
     limits: Limits
     requests: list[RequestRecord] = field(default_factory=list)
     attempts: list[AttemptRecord] = field(default_factory=list)
     servers: list[ServerRecord] = field(default_factory=list)
     processes: list[ProcessRecord] = field(default_factory=list)
-    lag: float = 0.0  # s: the most that the stand-ins themselves were held up
+    lag: float = 0.0  # seconds that the stand-ins' event loop was late, at most
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: a deployment between its stand-ins, with at least two faults at every moment."""
+"""A run: a deployment between its stand-ins, with at least two faults at any time."""
 
 from __future__ import annotations
 
@@ -25,31 +25,32 @@
 from tests.soak.records import End, Records, ServerRecord
 from tests.soak.stand_ins import Counter, Discovery, KnownKeys, Server, ServerMode
 
-CROWD_SIZE = 300  # idle connections to each instance: more than it holds
-FAULT_INTERVAL = (
-    1.2  # s between draws of faults; each lasts for two to three of them, so that two overlap at least
-)
+CROWD_SIZE = 300  # idle connections to each instance, more than it accepts
+# s between draws of faults; most last for two to three intervals, so that at least two overlap.
+FAULT_INTERVAL = 1.2
 WALL_CLOCK_OFFSETS = (3600, -3600, 5, 0)  # s
-ROUTING_DELAY = 0.3  # s for which new connections are dealt to a process that was told to stop
+ROUTING_DELAY = 0.3  # s for which a stopping process still gets new connections
 LAG_SAMPLE_INTERVAL = 0.005  # s
 
 
 @dataclass
 class Outcome:
-    """What one run came to."""
+    """The result of a run."""
 
     seed: int
     requests: int
     ends: Counts[str]
     statuses: Counts[int]
     violations: list[Violation]
-    lost_at_kill: int
+    lost_at_kill: int  # violations that fall together with the kill of a process
     processes: int
-    injected_faults: int  # that the preloaded library gave
-    lag: float
+    injected_faults: int  # system call failures
+    lag: float  # seconds, see `Records.lag`
 
 
 class Run:
+    """A deployment with its stand-ins, clients and faults."""
+
     def __init__(self, deployment: Deployment, folder: Path) -> None:
         self.deployment, self.folder = deployment, folder
         self.rng = random.Random(deployment.seed * 7 + 1)
@@ -65,6 +66,7 @@
         self.traffic_end = math.inf
 
     def now(self) -> float:
+        """Returns the seconds since the run began."""
         return time.monotonic() - self.started_at
 
     # --- set up ---
@@ -113,7 +115,7 @@
 
     # --- faults ---
     async def _fail_servers(self) -> None:
-        """A part of the servers misbehaves for a while."""
+        """A quarter of the servers fails in the same way for a while."""
         failing = self.rng.sample(self.servers, max(1, len(self.servers) // 4))
         mode = self.rng.choice(
             [
@@ -144,7 +146,7 @@
         agent.silent = False
 
     async def _fail_paths(self) -> None:
-        """A part of the paths goes wrong for a while; those to discovery only so that all of it arrives."""
+        """A part of the paths has a fault for a while; paths to discovery agents only a lossless one."""
         fault = self.rng.choice([path_fault for path_fault in PathFault if path_fault is not PathFault.NONE])
         stand_ins = [*self.rng.sample(self.servers, max(1, len(self.servers) // 3)), self.counter]
         if fault in LOSSLESS_FAULTS:
@@ -180,7 +182,7 @@
             self.shim.stop(fault)
 
     async def _replace_server(self) -> None:
-        """A server is told to drain while a cold one joins."""
+        """A server drains while a cold one joins."""
         leaving = self.rng.choice(self.servers)
         joining = await self._add_server(self.now())
         for agent in self.agents:
@@ -193,7 +195,7 @@
             await instance.current.suspend()
 
     async def _run_faults(self) -> None:
-        """Draws what fails next, so that two faults at least overlap at every moment."""
+        """Draws faults until the traffic ends, so that at least two overlap at any time."""
         tasks = [asyncio.create_task(self._fail_servers())]
         fault_choices = [
             self._fail_servers, self._fail_servers, self._fail_counter, self._fail_discovery,
@@ -209,10 +211,10 @@
             server.mode = ServerMode.SERVE
 
     async def _run_signals(self, instance: Instance, clients: Clients) -> None:
-        """One instance's signals, one after the other."""
+        """Reloads, upgrades or restarts one instance again and again until the traffic ends."""
 
         def stop_new_connections() -> None:
-            """The front learns a little later that no process serves that was not told to stop."""
+            """The load balancer in front learns after ROUTING_DELAY that all processes are stopping."""
             asyncio.get_running_loop().call_later(
                 ROUTING_DELAY, setattr, clients, "receives_connections", False
             )
@@ -236,14 +238,15 @@
                 clients.receives_connections = True
 
     async def _measure_lag(self) -> None:
-        """How late the stand-ins' own loop is."""
+        """Records how late the event loop of the stand-ins is."""
         while True:
             sleep_began = time.monotonic()
             await asyncio.sleep(LAG_SAMPLE_INTERVAL)
             self.records.lag = max(self.records.lag, time.monotonic() - sleep_began - LAG_SAMPLE_INTERVAL)
 
-    # --- play ---
+    # --- run ---
     async def run(self) -> Outcome:
+        """Runs the deployment and checks the records."""
         await self._set_up()
         self.traffic_end = self.now() + TRAFFIC_SECONDS
         lag = asyncio.create_task(self._measure_lag())
@@ -279,10 +282,11 @@
 
 
 async def run_deployment(deployment: Deployment) -> Outcome:
+    """Runs a deployment in a temporary folder."""
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         return await Run(deployment, Path(folder)).run()
 
 
 def run_seed(seed: int, idle_crowd: bool | None = None, system_call_faults: bool | None = None) -> Outcome:
-    """One whole run. `crowd` and `shim`: drawn from the seed where they are None."""
+    """Runs a seed. `idle_crowd` and `system_call_faults` are drawn from it where they are None."""
     return uvloop.run(run_deployment(draw_deployment(seed, idle_crowd, system_call_faults)))
--- a/tests/soak/stand_ins.py
+++ b/tests/soak/stand_ins.py
@@ -1,4 +1,4 @@
-"""The parties round the program: servers, discovery agents and a quota counter that can fail."""
+"""Stand-ins for the servers, the discovery agents and the quota counter, which can fail."""
 
 from __future__ import annotations
 
@@ -24,24 +24,25 @@
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 TRUNCATED = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\nhalf"
 SLOW_ANSWER_DELAY = 1.2  # s
-LONG_ANSWER_SHARE = 0.02  # of the answers
-MAX_ANSWER_BYTES = 1_000_000  # bytes
-DELIVERY_DELAY = 0.1  # s after which what was written has been read
+LONG_ANSWER_SHARE = 0.02  # share of the answers
+MAX_ANSWER_BYTES = 1_000_000
+DELIVERY_DELAY = 0.1  # s after which a written answer counts as read
 
 Clock = Callable[[], float]
 
 
 def ok_response(body: bytes) -> bytes:
+    """Returns a response with status 200."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 class StandInConnection(asyncio.Protocol):
-    """One connection to a stand-in: whole requests go to `asked`, one at a time."""
+    """A connection to a stand-in; passes each complete request to `StandIn.handle_request`."""
 
     def __init__(self, stand_in: StandIn) -> None:
         self.stand_in, self.buffer, self.request_began = stand_in, b"", 0.0
         self.transport: asyncio.Transport | None = None
-        self.port = 0  # from which it was dialled
+        self.port = 0  # peer port
         self.last_attempt: AttemptRecord | None = None
         self.open_attempts: list[AttemptRecord] = []
 
@@ -57,7 +58,7 @@
         self.end_attempts()
 
     def end_attempts(self) -> None:
-        """What was asked over this connection is out no more."""
+        """Records that the attempts over this connection have ended."""
         for attempt in self.open_attempts:
             attempt.ended = min(attempt.ended, self.stand_in.now())
         self.open_attempts.clear()
@@ -78,43 +79,47 @@
             self.stand_in.handle_request(self, head)
 
     def send(self, data: bytes) -> None:
+        """Answers, unless the connection has ended."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
             self.end_attempts()
 
     def mark_harmed(self) -> None:
-        """What is being answered over this connection may break off, and not by the program."""
+        """Records that the last attempt may break off for another reason than the ingress."""
         if self.last_attempt is not None:
             self.last_attempt.harmed = True
 
     def abort(self) -> None:
+        """Resets the connection."""
         self.mark_harmed()
         if self.transport is not None:
             self.transport.abort()
 
 
 class StandIn:
-    """A listening stand-in."""
+    """A server on loopback; subclasses handle its requests."""
 
     def __init__(self, now: Clock) -> None:
         self.now = now
         self.connections: set[StandInConnection] = set()
         self.listener: asyncio.Server | None = None
         self.address = ""
-        self.proxy: Proxy | None = None  # over which the program reaches it
+        self.proxy: Proxy | None = None  # the ingress connects through it
 
     async def put_behind(self, proxy: Proxy) -> None:
-        """From now on the program is told the proxy's address."""
+        """Puts a proxy before the stand-in; `address` becomes the proxy's."""
         await proxy.open()
         self.proxy, self.address = proxy, proxy.address
 
     async def open(self) -> None:
+        """Starts to listen and sets `address`."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(lambda: StandInConnection(self), "127.0.0.1", 0, backlog=512)
         host, port = self.listener.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     def close(self) -> None:
+        """Stops listening and resets all connections."""
         if self.listener is not None:
             self.listener.close()
         if self.proxy is not None:
@@ -123,18 +128,22 @@
             connection.abort()
 
     def handle_request(self, connection: StandInConnection, head: bytes) -> None:
+        """Handles a complete request, given without its body."""
         raise NotImplementedError
 
 
 class KnownKeys:
-    """The keys that servers know of each other, within a zone or all of them, each for its class's window."""
+    """The idempotency keys that servers remember for the window of their class.
+
+    Depending on the class, the servers of one zone or all servers share them.
+    """
 
     def __init__(self, classes: tuple[RequestClass, ...]) -> None:
         self.classes = {request_class.name: request_class for request_class in classes}
         self.first_received: dict[tuple[bytes, int], float] = {}
 
     def is_repeat(self, head: bytes, zone: int, now: float) -> bool:
-        """Whether a request is a repeat that is dropped; otherwise its key is known from now on."""
+        """Whether a server drops the request as a repeat; otherwise its key is remembered from `now` on."""
         request_class = self.classes[head.split(b" ", 2)[1].decode().removeprefix("/")]
         key = IDEMPOTENCY_KEY.search(head)
         if request_class.effect is not Effect.KEYED or key is None:
@@ -150,15 +159,15 @@
     """What a server does with a request."""
 
     SERVE = "serve"
-    HANG = "hang"
-    RESET = "reset"
+    HANG = "hang"  # never answers
+    RESET = "reset"  # resets the connection
     SLOW = "slow"
-    TRUNCATE = "half an answer"
-    REJECT = "turn away"
+    TRUNCATE = "half an answer"  # sends a part of the answer and nothing more
+    REJECT = "turn away"  # refuses it as unprocessed
 
 
 class Server(StandIn):
-    """An upstream server."""
+    """An upstream server; its service times are exponential with a mean of 1 / (2 * capacity)."""
 
     def __init__(
         self,
@@ -211,7 +220,7 @@
 
 
 class Counter(StandIn):
-    """The shared quota counter."""
+    """The shared quota counter. It does not answer while `silent`, and refuses while `busy`."""
 
     def __init__(self, now: Clock) -> None:
         super().__init__(now)
@@ -230,24 +239,26 @@
 
 
 class Discovery(StandIn):
-    """The agent on one instance's machine: answers watches with what has changed since."""
+    """The discovery agent of one instance: answers a watch once the server list has changed."""
 
     def __init__(self, now: Clock, instance: int) -> None:
         super().__init__(now)
         self.instance, self.version, self.silent = instance, 1, False
-        self.entries: dict[str, tuple[int, dict[str, Any]]] = {}  # by name: the version of its last change
+        self.entries: dict[
+            str, tuple[int, dict[str, Any]]
+        ] = {}  # by server name, with the version of its last change
         self.server_records: dict[str, ServerRecord] = {}
         self.watches: list[tuple[StandInConnection, int]] = []
-        # The list as this instance was last told it, and its version.
+        # The server list that this instance last received, and its version.
         self.delivered_entries: dict[str, dict[str, Any]] = {}
         self.delivered_version = 1
 
     def server_list(self) -> dict[str, Any]:
-        """What the platform writes into the configuration of a process that starts now."""
+        """Returns the list that the platform writes into the configuration of a starting process."""
         return {"seq": self.delivered_version, "whole": True, "hosts": list(self.delivered_entries.values())}
 
     def set_entry(self, entry: dict[str, Any], record: ServerRecord) -> None:
-        """Lists a server anew, or changes its entry; whoever waits is told."""
+        """Adds or replaces a server's entry and answers all open watches."""
         self.version += 1
         self.entries[entry["host"]] = self.version, entry
         self.server_records[entry["host"]] = record
@@ -279,7 +290,7 @@
     def _mark_delivered(
         self, connection: StandInConnection, changes: list[dict[str, Any]], version: int, sent_at: float
     ) -> None:
-        """A reset that comes right behind it may have destroyed what was written."""
+        """Counts changes as received, unless the connection was reset meanwhile, which may have lost them."""
         if connection not in self.connections:
             return
         self.delivered_version = max(self.delivered_version, version)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak, as CI plays it; the long one is started by hand: `python -m tests.soak`."""
+"""A few seeds of the randomized fault tests, for CI; `python -m tests.soak` runs more."""
 
 from __future__ import annotations
 
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -1,4 +1,4 @@
-"""The soak's checker finds a wrong record of every rule, and nothing in a right one."""
+"""Tests the checker of the fault tests: it reports a broken record for every rule, and no clean one."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def clean_records() -> Records:
-    """A run in which all went well: one request served, one refused, one retried after it was turned away."""
+    """Records of a run without faults: a request served, one refused, one retried after a rejection."""
     served = RequestRecord("a", Effect.UNSAFE, 0, 1.0, 2.0, False, End.ANSWERED, 200, 1.2)
     refused = RequestRecord("b", Effect.UNSAFE, 0, 1.0, 2.0, True, End.ANSWERED, 429, 1.1)
     retried = RequestRecord("c", Effect.UNSAFE, 0, 2.0, 2.0, True, End.ANSWERED, 200, 2.4)
--- a/tests/test_soak_proxy.py
+++ b/tests/test_soak_proxy.py
@@ -1,4 +1,4 @@
-"""The soak's proxies do what they are told, and note when the program's bytes came."""
+"""Tests the fault tests' proxies: they inject their faults and record when bytes arrived."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ProxiedConnection:
-    """One connection over a proxy to a server that answers."""
+    """A connection to a server, through a proxy."""
 
     def __init__(self, proxy: Proxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.proxy, self.reader, self.writer = proxy, reader, writer
@@ -23,11 +23,11 @@
     def arrival(self) -> ArrivalTimes:
         (port,) = self.proxy.arrivals
         arrival = self.proxy.take_arrival(port)
-        assert arrival is not None and self.proxy.take_arrival(port) is None, "each request is noted anew"
+        assert arrival is not None and self.proxy.take_arrival(port) is None, "each request is recorded once"
         return arrival
 
     async def round_trip(self) -> float:
-        """Seconds until the answer."""
+        """Sends a request and returns the seconds until the answer."""
         start = self.now()
         self.writer.write(REQUEST)
         await harness.read_request(self.reader)
