--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -90,7 +90,7 @@
 
 
 class Instance:
-    """An ingress, over all processes that serve it one after the other."""
+    """An ingress and its successive processes."""
 
     def __init__(
         self,
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -67,9 +67,8 @@
     server: int
     capacity: float  # requests/s after slow start
     started: float  # -inf if it started long before the run
-    drain_told: dict[int, float] = field(
-        default_factory=dict
-    )  # by instance: when it was told that the server drains
+    # By instance: when it was told that the server drains.
+    drain_told: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass
--- a/tests/soak/stand_ins.py
+++ b/tests/soak/stand_ins.py
@@ -239,14 +239,13 @@
 
 
 class Discovery(StandIn):
-    """The discovery agent of one instance: answers a watch once the server list has changed."""
+    """The discovery agent of one instance: answers a watch once the list changes or it times out."""
 
     def __init__(self, now: Clock, instance: int) -> None:
         super().__init__(now)
         self.instance, self.version, self.silent = instance, 1, False
-        self.entries: dict[
-            str, tuple[int, dict[str, Any]]
-        ] = {}  # by server name, with the version of its last change
+        # By server name, with the version of its last change.
+        self.entries: dict[str, tuple[int, dict[str, Any]]] = {}
         self.server_records: dict[str, ServerRecord] = {}
         self.watches: list[tuple[StandInConnection, int]] = []
         # The server list that this instance last received, and its version.
