--- a/opalgauge/lifecycle/service.py
+++ b/opalgauge/lifecycle/service.py
@@ -1,4 +1,4 @@
-"""One ingress from start to exit."""
+"""Runs one ingress in a single process, from start to exit."""
 
 from __future__ import annotations
 
@@ -29,79 +29,89 @@
     from opalgauge.handover.link import HandoverLink
     from opalgauge.wire.peers import PeerSocket
 
-MIN_CLOCK_STEP = timedelta(milliseconds=250)  # two starts read the same wall clock closer than that
-BAN_POLL_INTERVAL = timedelta(milliseconds=250)  # what one process was told holds at the other within 1 s
+MIN_CLOCK_STEP = timedelta(milliseconds=250)  # processes that share an unstepped wall clock differ by less
+BAN_POLL_INTERVAL = timedelta(milliseconds=250)  # a ban has to reach the other process within 1 s
 
 
 class PeerService(Protocol):
-    """One that speaks with the other ingresses."""
+    """A part of the ingress that exchanges datagrams with the peers."""
 
-    def start(self) -> None: ...
+    def start(self) -> None:
+        """Starts exchanging messages. The datagram socket is open by then."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stops exchanging messages."""
+        ...
 
-    def figures(self) -> list[str]: ...
+    def figures(self) -> list[str]:
+        """Returns the statistics lines for the admin endpoint."""
+        ...
 
 
 def poll_ban_file(
     loop: asyncio.AbstractEventLoop, ban_file: BanFile, report: Callable[[Event], None]
 ) -> None:
-    """Looks now and then at what staff told this ingress's other process."""
+    """Polls the ban file from now on, for bans that were set at the other process of this ingress."""
     ban_file.poll(report)
     loop.call_later(BAN_POLL_INTERVAL.total_seconds(), poll_ban_file, loop, ban_file, report)
 
 
 class PeerServices:
-    """What joins this ingress with the others: one datagram address, and the parts that speak over it."""
+    """The datagram socket to the peers, and the services that communicate over it."""
 
     def __init__(
         self,
-        transport: PeerSocket,
+        peer_socket: PeerSocket,
         services: list[PeerService],
         wait_until_ready: Callable[[], Awaitable[None]] | None,
     ) -> None:
-        self.transport, self.services, self.wait_until_ready = transport, services, wait_until_ready
+        self.peer_socket, self.services, self.wait_until_ready = peer_socket, services, wait_until_ready
 
     async def start(self, listen: tuple[str, int]) -> None:
-        """Until this ingress knows what it needs of the others before it serves."""
+        """Opens the socket and starts the services. Returns when they are ready for serving to begin."""
         loop = asyncio.get_running_loop()
-        await loop.create_datagram_endpoint(lambda: self.transport, local_addr=listen)
+        await loop.create_datagram_endpoint(lambda: self.peer_socket, local_addr=listen)
         for service in self.services:
             service.start()
         if self.wait_until_ready is not None:
             await self.wait_until_ready()
 
     def close(self) -> None:
+        """Closes the services and the socket."""
         for service in self.services:
             service.close()
-        self.transport.close()
+        self.peer_socket.close()
 
     def figures(self) -> list[str]:
-        """Lines for the admin endpoint."""
+        """Returns the statistics lines of all services for the admin endpoint."""
         lines = [line for service in self.services for line in service.figures()]
         return [
             *lines,
-            f"peers.words_sent={self.transport.sent}",
-            f"peers.words_dropped={self.transport.dropped}",
+            f"peers.words_sent={self.peer_socket.sent}",
+            f"peers.words_dropped={self.peer_socket.dropped}",
         ]
 
 
 def build_peer_services(
     config: Config, peering: Peering, runtime: Runtime, clock: Clock, log: Log
 ) -> PeerServices:
-    """Puts the parts that need the other ingresses beside the reducer. None is loaded where it is off."""
+    """Creates the configured peer services and routes the reducer's effects to them.
+
+    The modules of a service that is off are not imported.
+    """
     from opalgauge.wire.peers import PeerSocket
 
     settings, seed = config.ingress.settings, config.ingress.seed
-    transport = PeerSocket(peering.peers, asyncio.get_running_loop().time)
+    peer_socket = PeerSocket(peering.peers, asyncio.get_running_loop().time)
     services: list[PeerService] = []
     if peering.watches_zones:
-        from opalgauge.zones.channel import Channel as ZoneChannel
-        from opalgauge.zones.watch import Rules as ZoneRules
+        from opalgauge.zones.driver import ZoneDriver
+        from opalgauge.zones.watch import ZoneConfig
 
         usual_latencies = tuple(timedelta(seconds=c.aim / 5) for c in settings.classes)
         slow_start_duration = timedelta(seconds=settings.slow_start_duration)
-        zone_rules = ZoneRules(
+        zone_config = ZoneConfig(
             config.zones,
             settings.gateways,
             settings.gateway_index,
@@ -110,63 +120,63 @@
             settings.slow_start_share,
             peering.acts_on_zones,
         )
-        zone_channel = ZoneChannel(
-            zone_rules, transport, peering.secret, seed, runtime.report, clock.now, log
+        zone_driver = ZoneDriver(
+            zone_config, peer_socket, peering.secret, seed, runtime.report, clock.now, log
         )
-        runtime.effect_handlers[effects.ReportAttempt] = zone_channel.seen
-        runtime.effect_handlers[effects.ReportServers] = zone_channel.listed
-        services.append(zone_channel)
-    lease_channel = None
+        runtime.effect_handlers[effects.ReportAttempt] = zone_driver.on_attempt
+        runtime.effect_handlers[effects.ReportServers] = zone_driver.on_servers
+        services.append(zone_driver)
+    lease_driver = None
     if config.ingress.uses_leases:
-        from opalgauge.leases.channel import Channel as LeaseChannel
-        from opalgauge.leases.holder import Rules as LeaseRules
+        from opalgauge.leases.driver import LeaseDriver
+        from opalgauge.leases.holder import LeaseConfig
 
         plans = tuple((p.rate, p.burst) for p in settings.plans)
         leases_ahead, grants_to_peers = peering.lease_mode in ("ahead", "on"), peering.lease_mode == "on"
-        lease_rules = LeaseRules(
+        lease_config = LeaseConfig(
             settings.gateway_index, settings.gateways, plans, leases_ahead, grants_to_peers
         )
-        lease_channel = LeaseChannel(
-            lease_rules, transport, peering.secret, seed, runtime.report, clock.now, log
+        lease_driver = LeaseDriver(
+            lease_config, peer_socket, peering.secret, seed, runtime.report, clock.now, log
         )
-        runtime.effect_handlers[effects.ReportAccount] = lease_channel.met
-        runtime.effect_handlers[effects.AskLeaseHolder] = lease_channel.asked
-        runtime.effect_handlers[effects.ReportCounterResult] = lease_channel.counted
-        services.append(lease_channel)
+        runtime.effect_handlers[effects.ReportAccount] = lease_driver.on_account
+        runtime.effect_handlers[effects.AskLeaseHolder] = lease_driver.on_count
+        runtime.effect_handlers[effects.ReportCounterResult] = lease_driver.on_counter_result
+        services.append(lease_driver)
     wait_until_ready = None
     if peering.replicates:
-        from opalgauge.replica.channel import Channel as ReplicaChannel
+        from opalgauge.replica.driver import ReplicaDriver
         from starlinggap.snapshot import active_ejections
 
         gateway = runtime.reducer.gateway
-        replica_channel = ReplicaChannel(
+        replica_driver = ReplicaDriver(
             settings.gateway_index,
             settings.gateways,
-            transport,
+            peer_socket,
             peering.secret,
             seed,
             runtime.report,
             clock.now,
             lambda: active_ejections(gateway, clock.now().timestamp()),
         )
-        runtime.effect_handlers[effects.ReplicateBan] = replica_channel.marked
-        if lease_channel is not None:
-            lease_channel.spent, lease_channel.leases.heard_of = (
-                replica_channel.spent,
-                replica_channel.heard_of,
+        runtime.effect_handlers[effects.ReplicateBan] = replica_driver.on_ban
+        if lease_driver is not None:
+            lease_driver.on_usage, lease_driver.holder.replicated_usage = (
+                replica_driver.add_usage,
+                replica_driver.usage,
             )
-        services.append(replica_channel)
-        wait_until_ready = replica_channel.ready
-    return PeerServices(transport, services, wait_until_ready)
+        services.append(replica_driver)
+        wait_until_ready = replica_driver.wait_caught_up
+    return PeerServices(peer_socket, services, wait_until_ready)
 
 
 async def connect_to_old_process(config: Config, runtime: Runtime, clock: Clock, log: Log) -> HandoverLink:
-    """The link to this ingress's other process, which has handed over what it knows, if there is one.
+    """Opens the link to the other process of this ingress and takes over its snapshot, if there is one.
 
-    Called before anything is decided: where the wall clock was stepped since the old process started, the new
-    one goes on by the old one's time, which the other ingresses share and all that is handed over is told in.
+    Must be called before the first decision. If the wall clock was stepped after the old process started, the
+    new process adopts the old one's clock: the peers share it, and the times in the snapshot refer to it.
     """
-    from opalgauge.handover.link import HandoverLink  # not loaded where no other process can be
+    from opalgauge.handover.link import HandoverLink  # not imported if there can be no other process
     from opalgauge.handover.record import ClockReading, Identity
 
     reducer = runtime.reducer
@@ -187,7 +197,10 @@
 
 
 def persist_and_share(link: HandoverLink, ban_file: BanFile | None) -> Callable[[effects.PersistBans], None]:
-    """What staff say goes to the other process as well: guards a ban that cannot be written for now."""
+    """Returns a handler that writes bans to the file and sends them to the other process.
+
+    The second way keeps a ban that cannot be written at the moment.
+    """
 
     def persist(effect: effects.PersistBans) -> None:
         if ban_file is not None:
@@ -198,20 +211,24 @@
 
 
 async def serve(config: Config, source: SettingsSource, log: Log = log_plain) -> None:
+    """Serves until the drain after SIGTERM or SIGINT is over.
+
+    Raises OSError if an address is not available.
+    """
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     clock = Clock()
     runtime = Runtime(Reducer(config.ingress), clock.now, ServerListReader(config.zones), log, stopped.set)
     ready = draining = False
     link: HandoverLink | None = None
-    clients = runtime.clients = Clients(config.trade, runtime.report, lambda: not draining)
-    shared = config.listen_fd is not None  # another process may listen on it too
+    clients = runtime.clients = Clients(config.request_catalog, runtime.report, lambda: not draining)
+    shared = config.listen_fd is not None  # another process may accept from the same socket
 
     def drain() -> None:
         nonlocal draining
         if not draining:
             draining = clients.draining = True
-            # A descriptor that others could listen on is no proof that one does.
+            # An inherited socket alone does not prove that another process accepts from it.
             runtime.report(
                 DrainRequested(has_successor=shared and runtime.reducer.is_other_process_accepting())
             )
@@ -219,7 +236,7 @@
                 link.send_serving(False)
 
     def reload() -> None:
-        """The addresses of the other parties may change in service, nothing else does."""
+        """Applies new addresses of the counter, discovery and servers; nothing else changes while serving."""
 
         def apply(reading: SettingsReading) -> None:
             report_addresses(runtime.report, make_config(reading.platform_config, reading.environ))
@@ -228,7 +245,7 @@
 
         reload_settings(source, apply, log)
 
-    # Whatever escapes on a connection ends there, and is told in one line.
+    # An unhandled exception on a connection ends that connection and is logged in one line.
     loop.set_exception_handler(
         lambda _, context: runtime.report_fault(f"{context.get('message')}: {context.get('exception')!r}")
     )
@@ -265,7 +282,7 @@
             poll_ban_file(loop, ban_file, runtime.report)
         if peer_services is not None and config.peering is not None:
             await peer_services.start(config.peering.listen)
-        if not draining:  # guards clients against one that was asked to stop while it started
+        if not draining:  # a process that was stopped while starting must not accept clients
             await clients.listen(*config.listen, config.listen_fd)
             ready = True
             if link is not None:
@@ -277,7 +294,7 @@
             )
         await stopped.wait()
         if runtime.reducer.state.streams or runtime.reducer.state.requests:
-            runtime.recorder.write(config.state_folder, config.name, log)  # it leaves, and owes something
+            runtime.recorder.write(config.state_folder, config.name, log)  # unanswered requests at exit
         await asyncio.sleep(EXIT_DELAY.total_seconds())
         if link is not None:
             link.close()
@@ -288,7 +305,7 @@
 
 
 def main(source: SettingsSource | None = None) -> int:
-    """Serves until asked to stop; 0 after a drain, 2 where a start cannot work."""
+    """Runs an ingress; returns exit status 0 after a drain, 2 if it cannot start."""
     log: Log = log_plain
     try:
         source = source or PlatformSource()
@@ -296,7 +313,7 @@
         config = make_config(reading.platform_config, reading.environ)
         log = make_log(reading.log_format, ingress=config.name)
         if reading.workers > 1:
-            from opalgauge.cores import supervisor  # not loaded where one core serves
+            from opalgauge.cores import supervisor  # not imported if there is one worker
 
             return supervisor.run(reading, source, log)
         uvloop.run(serve(config, source, log))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: its commands, rude callers, the figures, and stock nodes taken out by hand."""
+"""The admin endpoint: its commands, misbehaving callers, statistics, and bans of servers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "call"),
+    ("line", "command"),
     [
         (b"status", commands.Status()),
         (b"stats\r", commands.Stats()),
@@ -30,18 +30,18 @@
         (b"maint-off s-1", commands.ChangeBan("s-1", False)),
     ],
 )
-def test_parse_accepts_every_command(line: bytes, call: commands.Command) -> None:
-    assert commands.parse(line) == call
+def test_parse_accepts_every_command(line: bytes, command: commands.Command) -> None:
+    assert commands.parse(line) == command
 
 
 @given(st.binary(max_size=80) | st.sampled_from([b"", b"status now", b"maint-on", b"maint-on a b"]))
 @settings(derandomize=True, max_examples=200)
 def test_parse_answers_invalid_input_with_a_reason(line: bytes) -> None:
-    call = commands.parse(line)
-    if isinstance(call, commands.InvalidCommand):
+    command = commands.parse(line)
+    if isinstance(command, commands.InvalidCommand):
         assert (
-            commands.format_answer(False, call.reason).startswith(b"400 ")
-            and commands.format_answer(False, call.reason).count(b"\n") == 1
+            commands.format_answer(False, command.reason).startswith(b"400 ")
+            and commands.format_answer(False, command.reason).count(b"\n") == 1
         )
 
 
@@ -79,7 +79,7 @@
 
 
 class TestDecisions:
-    """The module: a banned server gets nothing, and comes back cold."""
+    """The gateway sends nothing to a banned server, and starts it cold afterwards."""
 
     def test_a_banned_server_gets_no_attempt_whatever_the_list_says(self) -> None:
         rig = GatewayRig(gateway_settings(), servers=2)
@@ -90,9 +90,9 @@
             )
         )
         rig.feed(interface.ServerList(interface.ListKind.COMPLETE, (entry(1, started=0.5), entry(2))))
-        for customer in range(30):
-            rig.request(account=customer)
-            rig.finish(interface.End.REJECTED if customer % 3 == 0 else interface.End.OK)
+        for account in range(30):
+            rig.request(account=account)
+            rig.finish(interface.End.REJECTED if account % 3 == 0 else interface.End.OK)
         assert {s.server for s in rig.sends} == {2}
         assert rig.gateway.count_avoided(rig.now) == 1
 
@@ -110,15 +110,17 @@
         rig.request()
         assert rig.sends[-1].server == 3 and rig.gateway.count_avoided(rig.now) == 0
         rig.finish()
-        assert rig.gateway.capacity(rig.gateway.servers[3]) == pytest.approx(0.15)
+        assert rig.gateway.capacity_share(rig.gateway.servers[3]) == pytest.approx(0.15)
         for n in range(200):
             rig.request(account=n)
             rig.finish()
-        assert 0 < [s.server for s in rig.sends].count(3) < 200 / 12 / 2  # a warm one's part is 200 / 12
+        assert (
+            0 < [s.server for s in rig.sends].count(3) < 200 / 12 / 2
+        )  # the share of a warm one is 200 / 12
 
 
 class TestReducer:
-    """What the door's calls change, and what is counted."""
+    """Commands that change bans, and the counting of requests."""
 
     def call(self, rig: ReducerRig, server_id: int, banned: bool) -> effects.AnswerStaff:
         rig.step(events.BanChangeRequested(1, f"s-{server_id}", server_id, banned))
@@ -136,7 +138,7 @@
     def test_an_unknown_server_is_rejected_and_a_banned_one_can_always_return(self) -> None:
         rig = ReducerRig(server_count=1)
         assert not self.call(rig, 9, True).accepted and not self.call(rig, 9, False).accepted
-        assert self.call(rig, 1, False).accepted  # in use already
+        assert self.call(rig, 1, False).accepted  # not banned: no change
         assert self.call(rig, 1, True).accepted
         list_request = rig.last_list_request()
         rig.step(
@@ -251,7 +253,7 @@
                 await asyncio.sleep(0)
             for _ in range(3):
                 assert (await ingress.call_admin(b"stats\n")).endswith(b"EOF\n")
-            assert answered < clients * requests_per_client  # it did not wait for what was there before it
+            assert answered < clients * requests_per_client  # it did not wait for the earlier requests
             await asyncio.gather(*client_tasks)
 
     asyncio.run(scenario())
