--- a/opalgauge/leases/__init__.py
+++ b/opalgauge/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases of quotas: what an ingress may spend without asking the quota counter, and while it cannot."""
+"""Quota leases: units that an ingress may spend without calling the quota counter, or while it cannot."""
--- a/opalgauge/leases/actions.py
+++ b/opalgauge/leases/actions.py
@@ -1,4 +1,4 @@
-"""What the lease holder wants done: totals told, calls of the quota counter, messages, log lines, reports."""
+"""The actions of the lease holder, carried out by its driver."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerCount:
-    """One ask's answer. `took`: since it was asked. `end`: not `OK` where nobody can tell a total."""
+    """Answer a count that the gateway has asked for.
+
+    `duration` is the time since it was asked. `end` is not `OK` if no total is known.
+    """
 
     name: int
     total: float
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallCounter:
-    """The counter is to be called; `counted` brings what comes of it under this token."""
+    """Call the quota counter. The result goes to `LeaseHolder.handle_counter_result` with this token."""
 
     token: int
     name: int
@@ -31,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """A message to another ingress, which may be lost on the way."""
+    """Send a message to a peer. It may be lost."""
 
     peer: int
     message: Message
@@ -39,14 +42,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log."""
+    """Write a log line."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReportUsage:
-    """This ingress has spent so many units more of an account that comes near its quota, in a window."""
+    """Replicate that this ingress has spent these further units of an account near its quota.
+
+    The window ends at `ends_at`.
+    """
 
     account: int
     window: int
--- a/opalgauge/leases/driver.py
+++ b/opalgauge/leases/driver.py
@@ -1,4 +1,4 @@
-"""The edge of `opalgauge.leases`: between the reducer, the quota counter's calls and the peers."""
+"""Drives the lease holder: steps it by a timer and connects it to the reducer, the counter and the peers."""
 
 from __future__ import annotations
 
@@ -13,11 +13,15 @@
 from opalgauge.memory.events import CounterCallRequested, Event, LeaseHolderAnswered
 from opalgauge.wire.peers import PeerSocket
 
-STEP_INTERVAL = 0.02  # s between steps
+STEP_INTERVAL = 0.02  # seconds
 
 
 class LeaseDriver:
-    """One ingress's leases beside its reducer."""
+    """Runs one ingress's lease holder beside its reducer.
+
+    `report` takes events for the reducer. `on_usage` may be set to replicate what this ingress spends: it
+    takes account, window, end of the window and units.
+    """
 
     def __init__(
         self,
@@ -33,30 +37,34 @@
         start_time = now()
         self.holder = LeaseHolder(config, start_time, int(start_time.timestamp() * 1000), seed)
         transport.handlers[messages.VERSION] = self._on_datagram
-        # Account, window, its end and units; heard where state is replicated.
         self.on_usage: Callable[[int, int, datetime, float], None] = lambda *_: None
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Takes a step now and every `STEP_INTERVAL` from now on."""
         self.timer = self.loop.call_later(STEP_INTERVAL, self.start)
         self.holder.tick(self.now())
         self._run_actions()
 
     def close(self) -> None:
+        """Stops the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
     def on_account(self, effect: ReportAccount) -> None:
+        """A request of an account has arrived."""
         self.holder.add_account(
             effect.account, effect.plan_index, effect.account_gateways, effect.first_gateway, self.now()
         )
 
     def on_count(self, effect: AskLeaseHolder) -> None:
+        """The gateway asks for a count."""
         self.holder.request_count(effect.name, effect.amount, effect.ttl, self.now())
         self._run_actions()
 
     def on_counter_result(self, effect: ReportCounterResult) -> None:
+        """A counter call has ended."""
         self.holder.handle_counter_result(effect.token, effect.end, effect.total, self.now())
         self._run_actions()
 
--- a/opalgauge/leases/holder.py
+++ b/opalgauge/leases/holder.py
@@ -1,17 +1,17 @@
-"""The quota counter as one ingress sees it, near or cut off. No I/O, no clock.
+"""Answers the gateway's counts, with the quota counter or without it. No I/O, no clock.
 
-The decisions ask for counts (`asked`) and are told totals (`TellTotal`), those of a name in the order of its
-asking.
+The gateway asks for counts (`request_count`) and gets totals (`AnswerCount`), in order for each name.
 
-- While the counter answers, a busy account's units are charged ahead (a lease), within a part of what is
-  free. What is spent of a lease needs no call, and what is handed back goes into it: no call either.
-- While it does not, or only late, an ingress has rights to its even part of what was free, over the
-  account's ingresses, and of each new window. Told is the total as it were if all used theirs alike: of what
-  was free, the part that was spent of its rights. Rights move by grants, as in a bounded counter: whoever
-  gives has them no more, so a message that is lost loses rights only.
-- Who has the counter leaves out the parts of those that have not, or are not heard.
+- While the counter answers, units of a busy account are charged ahead: a lease, bounded by a share of the
+  free quota. Requests that are paid from a lease need no call. Units that come back go into the lease, also
+  without a call.
+- While the counter answers late or not at all, windows are detached. Each ingress of the account then has
+  rights to an even share of what was free, and of each new window. The answered total extrapolates: it
+  assumes that all ingresses use their rights as this one does. Rights move between ingresses by grants, as in
+  a bounded counter: the giver gives them up first, so a lost message can only lose rights.
+- An ingress that reaches the counter keeps the shares of peers that do not, or that are silent, in reserve.
 
-The error of all that is stated in `docs/design/leases.md`.
+`docs/design/leases.md` states how far the results may deviate from the quota.
 """
 
 from __future__ import annotations
@@ -31,31 +31,32 @@
 from starlinggap.quota import counter_name
 
 NO_DELAY = timedelta(0)
-JUST_READ_AGE = timedelta(milliseconds=150)  # a total so old tells that there is no room
-FRESH_READ_AGE = timedelta(milliseconds=300)  # a total so old is read anew; of a window that is over: SETTLED
-SETTLED_READ_AGE = timedelta(seconds=1)
-LEASE_TERM = timedelta(seconds=2)  # a lease is for the use of so long, and handed back when idle as long
-LEASED_SHARE = 0.5  # of what is free, over all ingresses of the account: what leases may hold of it
-CONTESTED_SHARE = 0.4  # of its quota: below, nobody misses what is left of a lease
-MIN_LEASE = 1.0  # requests expected within a term, below which a lease saves nothing
-UNKNOWN_USAGE_SHARE = 0.5  # of its quota: what an account not met before the cut is thought to have used
-RESERVATION_TIME = timedelta(seconds=30)  # an ingress that is not heard is left its part for so long
-MESSAGE_MAX_AGE = timedelta(milliseconds=1500)
-HEARTBEAT_INTERVAL = timedelta(milliseconds=400)  # between messages that only say that one lives
+JUST_READ_AGE = timedelta(milliseconds=150)  # a younger total can prove that a window is full
+FRESH_READ_AGE = timedelta(milliseconds=300)  # a younger total answers a read of the present window
+SETTLED_READ_AGE = timedelta(seconds=1)  # a younger total answers a read of a window that has ended
+LEASE_TERM = timedelta(seconds=2)  # a lease covers the demand of this time; returned after as long idle
+LEASED_SHARE = 0.5  # of an account's free quota: the most that the leases of all ingresses hold
+CONTESTED_SHARE = 0.4  # of an account's quota: below that nobody misses an unused lease
+MIN_LEASE = 1.0  # requests per lease; with fewer it saves no call
+UNKNOWN_USAGE_SHARE = 0.5  # of a quota: assumed use of an account that is new while the counter is away
+RESERVATION_TIME = timedelta(seconds=30)  # for which a silent peer's share is kept in reserve
+MESSAGE_MAX_AGE = timedelta(milliseconds=1500)  # a peer without a newer message is silent
+HEARTBEAT_INTERVAL = timedelta(milliseconds=400)  # between messages without needs and grants
 MIN_SEND_INTERVAL = timedelta(milliseconds=80)  # between messages to one peer
-SMALL_FLEET_SIZE = 12  # ingresses: with more of them, silence says nothing, as nobody can speak to all
-GRANTED_SHARE = 0.7  # of what an ingress has no use for itself, given to one that asks
-GRANT_REPEATS = 3  # times that a grant is said
-NEED_DURATION = timedelta(milliseconds=800)
-REPORT_INTERVAL = timedelta(seconds=1)
+SMALL_FLEET_SIZE = 12  # ingresses; in larger fleets messages are too rare for silence to mean anything
+GRANTED_SHARE = 0.7  # of the rights that an ingress does not need itself, granted to one that asks
+GRANT_REPEATS = 3  # times that a grant is sent
+NEED_DURATION = timedelta(milliseconds=800)  # for which an account asks for rights after it ran short
+REPORT_INTERVAL = timedelta(seconds=1)  # between `ReportUsage` actions
 MAX_ACCOUNTS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseConfig:
-    """What the settings say: this ingress among all, and each tariff's rate and burst.
+    """Settings of a lease holder.
 
-    `ahead`, `grants`: False leaves out leases while the counter answers, and grants while it does not.
+    `plans` holds rate (units per second) and burst (units) of each plan. Without `lease_ahead` nothing is
+    charged ahead while the counter answers; without `grant_rights` no rights move while it does not.
     """
 
     own_index: int
@@ -66,7 +67,11 @@
 
 
 class LeaseHolder:
-    """One ingress's leases and rights. `life`: larger at each start of this ingress."""
+    """Holds one ingress's leases and rights. `incarnation` must be larger at each start of the ingress.
+
+    `replicated_usage` may be set to look up, by account, window and end of the window, the units that all
+    ingresses have reported.
+    """
 
     def __init__(self, config: LeaseConfig, now: datetime, incarnation: int, seed: int) -> None:
         self.config, self.now, self.incarnation = config, now, incarnation
@@ -74,9 +79,8 @@
         self.rng = random.Random(seed)
         self.accounts: OrderedDict[int, Account] = OrderedDict()
         self.windows_by_name: dict[int, Window] = {}
-        self.calls_in_flight: dict[
-            int, Window | PendingCount | None
-        ] = {}  # None: a trial; Ask: of a name that is not known
+        # By token. None: a trial. A `PendingCount`: its name belongs to no known account.
+        self.calls_in_flight: dict[int, Window | PendingCount | None] = {}
         self.last_token = 0
         self.counter_health = CounterHealth(now, self.rng)
         self.peers = {n: Peer() for n in range(config.fleet_size) if n != config.own_index}
@@ -84,34 +88,34 @@
         self.actions: list[Action] = []
         self.counter_calls = self.counts_asked = self.detached_counts = 0
         self.units_granted = self.units_received = 0.0
-        self.unsettled: OrderedDict[int, Account] = OrderedDict()  # accounts with something to settle
-        self.accounts_in_need: OrderedDict[int, Account] = OrderedDict()
+        self.unsettled: OrderedDict[int, Account] = OrderedDict()  # with units to charge or to return
+        self.accounts_in_need: OrderedDict[int, Account] = OrderedDict()  # ask their peers for rights
         self.next_report_at = now
-        # What all ingresses have told of an account's window, where it is replicated.
         self.replicated_usage: Callable[[int, int, datetime], float | None] = (
             lambda account, window, ends_at: None
         )
 
     def take_actions(self) -> list[Action]:
+        """Returns the actions since the last call, in order."""
         actions, self.actions = self.actions, []
         return actions
 
-    # --- what comes in -------------------------------------------------------------------------------------
+    # --- inputs --------------------------------------------------------------------------------------------
     def add_account(
         self, account: int, plan_index: int, ingress_count: int, first_ingress: int, now: datetime
     ) -> None:
-        """A request of this account has come: its names can be asked for from now on."""
+        """A request of an account has arrived: counts of its windows may follow."""
         self.now = max(self.now, now)
         known = self._get_account(account, plan_index, ingress_count, first_ingress)
         if known is not None:
             self._open_window(known, int(self.now.timestamp() // known.window_seconds))
 
     def request_count(self, name: int, amount: float, ttl: timedelta, now: datetime) -> None:
-        """The decisions ask for a count. Each ask is answered by one `TellTotal`."""
+        """The gateway asks for a count. Each one is answered by one `AnswerCount`."""
         self.now = max(self.now, now)
         self.counts_asked += 1
         window = self.windows_by_name.get(name)
-        if window is None:  # nothing of ours can be said of it
+        if window is None:  # only the counter can answer
             self._call_counter(name, amount, ttl, PendingCount(name, amount, self.now))
             return
         window.ttl = ttl
@@ -119,7 +123,7 @@
         self._answer_counts(window)
 
     def handle_counter_result(self, token: int, end: interface.End, total: float, now: datetime) -> None:
-        """What came of a `Call`."""
+        """A `CallCounter` action has ended."""
         self.now = max(self.now, now)
         subject = self.calls_in_flight.pop(token, None)
         answered = end is interface.End.OK and math.isfinite(total)
@@ -144,15 +148,15 @@
             if answered:
                 subject.counter_total, subject.read_at = max(0.0, total), self.now
                 subject.unconfirmed = 0.0
-                if (
-                    not self.counter_health.in_trouble
-                ):  # a late total tells nothing of what others spend by rights
+                # A late total does not contain what peers spend by rights.
+                if not self.counter_health.in_trouble:
                     subject.detached = False
                     self._update_reservation(subject)
             self._answer_counts(subject)
         self._serve_waiting()
 
     def handle_message(self, message: Message, now: datetime) -> None:
+        """A peer's message has come. Grants count even if it was overtaken by a newer one."""
         self.now = max(self.now, now)
         peer = self.peers.get(message.sender)
         if peer is None or message.incarnation < peer.incarnation:
@@ -162,7 +166,7 @@
         for grant in message.grants:
             self._handle_grant(message.sender, message.incarnation, grant)
         if message.sequence <= peer.sequence:
-            return  # repeated or overtaken: what it needed is no longer known to be so
+            return  # repeated or overtaken: the needs may be outdated
         peer.sequence, peer.heard_at, peer.without_counter = (
             message.sequence,
             self.now,
@@ -172,7 +176,7 @@
             self._handle_need(message.sender, message.incarnation, need)
 
     def tick(self, now: datetime) -> None:
-        """To be called some fifty times a second."""
+        """Does what is due. To be called about fifty times a second."""
         self.now = max(self.now, now)
         for token in self.counter_health.take_overdue(self.now):
             self._record_miss()
@@ -197,7 +201,7 @@
             rate, burst = self.config.plans[plan_index % len(self.config.plans)]
             if rate <= 0:
                 return None
-            window_seconds = min(burst / rate, 20.0)  # as the decisions reckon it
+            window_seconds = min(burst / rate, 20.0)  # as in the gateway
             limit = min(burst, rate * window_seconds)
             known = Account(number, plan_index, first_ingress, max(1, ingress_count), limit, window_seconds)
             self.accounts[number] = known
@@ -208,7 +212,7 @@
 
     def _forget_account(self, account: Account) -> None:
         for window in account.windows.values():
-            if window.pending_counts:  # each is owed its answer
+            if window.pending_counts:  # each must be answered
                 self._detach(window)
                 self._answer_counts(window)
             self.windows_by_name.pop(window.name, None)
@@ -217,8 +221,8 @@
         self.accounts_in_need.pop(account.number, None)
 
     def _open_window(self, account: Account, number: int) -> Window:
-        """The window of this number, and those beside it; older ones are forgotten."""
-        for n in (number - 1, number, number + 1):  # the next one's name may be asked for before a request
+        """Returns the window of this number. Creates it and its neighbours, and drops older ones."""
+        for n in (number - 1, number, number + 1):  # the gateway may count in the next one first
             if n not in account.windows:
                 ttl = timedelta(seconds=3 * account.window_seconds)
                 window = Window(account, n, counter_name(account.number, n), ttl)
@@ -239,9 +243,9 @@
         count = self.config.fleet_size
         return [(account.first_ingress + k) % count for k in range(min(account.ingress_count, count))]
 
-    # --- alone ---------------------------------------------------------------------------------------------
+    # --- detached windows ----------------------------------------------------------------------------------
     def _detach(self, window: Window) -> None:
-        """From here on it is decided without the counter."""
+        """From now on the window is decided without the counter."""
         if window.detached:
             return
         account, share = window.account, self._even_share(window.account)
@@ -249,14 +253,13 @@
         if window.counter_total is not None:
             used_before = self._estimated_total(window)
             free = max(0.0, limit - window.counter_total)
-            # A lease that a total known to be short no longer bears is used up all the same: it was charged.
+            # The lease may be spent even if the quota is used up by now: it was charged.
             window.rights = max(0.0, window.held - window.unconfirmed)
-            if (
-                self.counter_health.in_trouble
-            ):  # and not for one late answer, as the others go on by what they hear
+            # Not for a single late answer: then the peers go on with the counter.
+            if self.counter_health.in_trouble:
                 window.rights += share * free
         elif not self.counter_health.has_answered and began <= self.started_at.timestamp():
-            # Guards against rights that a former life of this ingress may have spent already.
+            # An earlier incarnation of this ingress may have spent the rights already.
             used_before, window.rights = limit, 0.0
         elif (
             self.counter_health.trouble_since is not None
@@ -273,12 +276,12 @@
 
     @staticmethod
     def _window_end(window: Window) -> datetime:
-        """When the window ends, to the millisecond: the same at all ingresses."""
+        """The window's end in whole milliseconds, so that all ingresses compute the same."""
         end = round((window.number + 1) * window.account.window_seconds * 1000)
         return datetime.fromtimestamp(0, UTC) + timedelta(milliseconds=end)
 
     def _report_usage(self) -> None:
-        """What others need of an account that they may be without the counter for."""
+        """Reports use of accounts near their quota, which peers need when they lose the counter."""
         for account in self.unsettled.values():
             window = account.windows.get(int(self.now.timestamp() // account.window_seconds))
             if window is None or self._estimated_total(window) < CONTESTED_SHARE * account.limit:
@@ -291,7 +294,7 @@
                 )
 
     def _estimated_total(self, window: Window) -> float:
-        """The total, as far as this ingress can know it, what it holds ahead left out."""
+        """The best estimate of what all ingresses have spent, without this ingress's lease."""
         if window.detached:
             return max(window.seen_total, self._total_by_rights(window))
         if window.reserved_share <= 0:
@@ -301,14 +304,14 @@
         )
 
     def _total_by_rights(self, window: Window) -> float:
-        """The total, as if all used their rights as far as this ingress did."""
+        """The total under the assumption that all ingresses use their rights as this one does."""
         free, all_rights = (
             window.account.limit - window.used_before_detach,
             window.used_since_detach + window.rights,
         )
         if all_rights <= 1e-9 or free <= 0:
-            # While the counter is in trouble, what the quota gives back since is the others' too, unseen: as
-            # if all used it alike. For one late answer the others go on by what they hear.
+            # While the counter is in trouble, quota that is regained belongs to all ingresses: assumes that
+            # each uses as much of it. For a single late answer the peers go on with the counter.
             share = self._even_share(window.account) if self.counter_health.in_trouble else 1.0
             return max(window.used_before_detach, window.account.limit) + window.used_since_detach / share
         return window.used_before_detach + max(
@@ -316,7 +319,7 @@
         )
 
     def _update_reservation(self, window: Window) -> None:
-        """Leaves those that cannot ask the counter their parts, and no longer once they can."""
+        """Adjusts the reserve for peers that cannot reach the counter."""
         reserved_share = self._reserved_share(window.account)
         if reserved_share == window.reserved_share:
             return
@@ -326,20 +329,20 @@
         window.reserved_share = reserved_share
 
     def _reserved_share(self, account: Account) -> float:
-        """The parts of this account's other ingresses that are without the counter, or are not heard."""
+        """The share of the account's ingresses that are without the counter, or silent."""
         missing = 0
         for n in self._account_ingresses(account):
             peer = self.peers.get(n)
             if peer is None or peer.heard_at is None:
-                continue  # this one, or one that has never been heard: there may be none
+                continue  # this ingress, or one that was never heard and may not exist
             silence = self.now - peer.heard_at
             unheard = silence > MESSAGE_MAX_AGE and self.config.fleet_size <= SMALL_FLEET_SIZE
             missing += silence < RESERVATION_TIME and (peer.without_counter or unheard)
         return min(0.95, missing * self._even_share(account))
 
-    # --- asks ----------------------------------------------------------------------------------------------
+    # --- answering counts ----------------------------------------------------------------------------------
     def _answer_counts(self, window: Window) -> None:
-        """Answers what can be, in order; calls the counter where nothing else will do."""
+        """Answers pending counts in order. Calls the counter if that is the only way."""
         while window.pending_counts:
             pending_count = window.pending_counts[0]
             if not (window.detached or self._can_answer(window, pending_count)):
@@ -354,10 +357,11 @@
             estimate = self._estimated_total(window)
             self._spend(window, pending_count.amount)
             self.detached_counts += window.detached
-            # Guards against a fall by grants that the decisions would take for a counter that forgot.
+            # Received grants lower the estimate. The gateway would take a total that falls for a counter that
+            # lost its counts.
             floor = window.last_answer + min(0.0, pending_count.amount) - window.account.ingress_count
-            # What stands for others is told with the next ask: this one may yet be refused and handed back,
-            # and the decisions would take that use of others for gone for good.
+            # The assumed use of the peers is added with the next count: this one may still be refused and
+            # returned, and the gateway would then go on without the peers' part.
             total = (
                 estimate + pending_count.amount
                 if window.detached and pending_count.amount > 0
@@ -367,7 +371,7 @@
             self.actions.append(AnswerCount(window.name, window.last_answer, NO_DELAY))
 
     def _can_answer(self, window: Window, pending_count: PendingCount) -> bool:
-        """Whether no call is needed: it hands back, is paid for by a lease, or reads what is fresh."""
+        """Whether no call is needed: units are returned or paid by the lease, or the total is fresh."""
         if pending_count.amount < 0:
             return window.counter_total is not None
         if pending_count.amount > 0:
@@ -380,16 +384,16 @@
         return age is not None and age <= (SETTLED_READ_AGE if ended else FRESH_READ_AGE)
 
     def _is_known_full(self, window: Window, amount: float) -> bool:
-        """Whether a total that was just heard leaves no room for it: that is told without a call.
+        """Whether a total that was just read leaves no room for the units. That is answered without a call.
 
-        Where the decisions let it in all the same, it is charged soon after.
+        If the gateway admits the request all the same, its units are charged soon after.
         """
         if window.read_at is None or self.now - window.read_at > JUST_READ_AGE or window.call_token:
             return False
         return self._weighted_usage(window) + amount > window.account.limit
 
     def _weighted_usage(self, window: Window) -> float:
-        """Of both windows, weighted as the decisions do."""
+        """The use of the last two windows, weighted as the gateway does it."""
         previous, usage = window.account.windows.get(window.number - 1), self._estimated_total(window)
         if previous is not None:
             usage += (
@@ -410,12 +414,12 @@
             window.rights -= amount
             window.used_since_detach += amount
             if amount > 0 and self.config.grant_rights and window.expected_usage(self.now) > window.rights:
-                # What will not do until the window is over is asked of the others before it is gone.
+                # The rights will not last until the window ends: asks for more before they run out.
                 account.need_until = self.now + NEED_DURATION
                 self.accounts_in_need[account.number] = account
 
     def _charge(self, window: Window) -> None:
-        """One call for all that waits, what was spent alone, and a lease ahead where the account is busy."""
+        """Makes one call: for pending counts, units owed, and a lease if the account is busy."""
         waiting_units = sum(a.amount for a in window.pending_counts if a.amount > 0)
         amount = waiting_units - window.held
         if waiting_units > 0:
@@ -428,7 +432,7 @@
         window.unconfirmed += amount
 
     def _lease_units(self, window: Window, request_units: float) -> float:
-        """Units to hold for the next requests: whole ones of that size, within a part of what is free."""
+        """Units to charge ahead: for whole requests of this size, within a share of the free quota."""
         account = window.account
         if not self.config.lease_ahead or account.demand_at is None:
             return 0.0
@@ -450,13 +454,13 @@
         return self.last_token
 
     def _serve_waiting(self) -> None:
-        """A call has ended: those that waited for its turn."""
+        """Answers counts that waited for a call to end."""
         for account in list(self.unsettled.values()):
             for window in account.windows.values():
                 if window.pending_counts and not window.call_token:
                     self._answer_counts(window)
 
-    # --- the counter ---------------------------------------------------------------------------------------
+    # --- counter calls -------------------------------------------------------------------------------------
     def _record_miss(self) -> None:
         if self.counter_health.record_miss(self.now):
             self.actions.append(LogLine("counter: not answering; deciding by rights"))
@@ -466,7 +470,7 @@
                     self._answer_counts(window)
 
     def _settle(self) -> None:
-        """What was spent alone is charged, what is held and not used is handed back; idle accounts rest."""
+        """Charges what is owed, returns unused leases and drops settled accounts from `unsettled`."""
         for account in list(self.unsettled.values()):
             now = self.now.timestamp()
             current = int(now // account.window_seconds)
@@ -477,17 +481,16 @@
                 if window.pending_counts:
                     self._answer_counts(window)
                 elif self._can_charge_later(window):
-                    pass  # more may follow at once, and go with it
+                    pass  # further units may go with the same call
                 elif window.held < -1e-6 or (window.held > 1e-6 and (is_idle or window.number < current)):
-                    # What is left of a lease is a matter of indifference where nobody comes near the quota.
+                    # Not worth a call to return a lease while the account is far from its quota.
                     if (
                         window.held < 0
                         or self._estimated_total(window) + window.held > CONTESTED_SHARE * account.limit
                     ):
                         self._charge(window)
-                        self.unsettled.move_to_end(
-                            account.number
-                        )  # calls may be few: each account in its turn
+                        # Calls may be few: the other accounts come first next time.
+                        self.unsettled.move_to_end(account.number)
                     else:
                         window.charged = window.spent
             if all(
@@ -497,14 +500,14 @@
                 self.unsettled.pop(account.number, None)
 
     def _can_charge_later(self, window: Window) -> bool:
-        """Whether it owes units since a total that was heard so lately that a call for them can wait."""
+        """Whether the window owes units, but was read so lately that the call can wait."""
         if self.counter_health.in_trouble or window.read_at is None:
             return False
         return window.held < -1e-6 and self.now - window.read_at < JUST_READ_AGE
 
     # --- messages -----------------------------------------------------------------------------------------
     def _handle_need(self, peer: int, incarnation: int, need: Need) -> None:
-        """Another ingress lacks rights: it gets a part of those that this one has no use for."""
+        """Grants a share of the rights that this ingress does not need to a peer that lacks them."""
         if not self.config.grant_rights or not 0 <= need.plan_index < len(self.config.plans):
             return
         account = self._get_account(need.account, need.plan_index, need.ingress_count, need.first_ingress)
@@ -531,7 +534,7 @@
     def _handle_grant(self, peer: int, incarnation: int, grant: Grant) -> None:
         account = self.accounts.get(grant.account)
         if account is None or grant.receiver_incarnation != self.incarnation:
-            return  # to a former life of this ingress, which may have spent it
+            return  # made to an earlier incarnation, which may have spent it
         for window in account.windows.values():
             if window.number % 256 == grant.window and window.detached:
                 new_units = grant.units - window.received_from.get((peer, incarnation), 0.0)
--- a/opalgauge/leases/messages.py
+++ b/opalgauge/leases/messages.py
@@ -1,6 +1,6 @@
-"""What ingresses say to each other of rights: a datagram of at most 256 bytes. No I/O.
+"""Lease messages between ingresses: datagrams of at most 256 bytes. No I/O.
 
-MessagePack by msgspec, sealed as all messages between ingresses are.
+Encoded with msgspec as MessagePack arrays and signed like all messages between ingresses.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from opalgauge.memory.signed_datagram import decode, sign
 
 VERSION = b"\x5a\x11"
-MAX_NEEDS, MAX_GRANTS = 5, 4  # of one message: the longest of each still fit
+MAX_NEEDS, MAX_GRANTS = 5, 4  # per message; the longest ones just fit the datagram
 MAX_UNITS = 1e6
 TENTHS_PER_UNIT = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """Its account lacks units at the sender. `window`: its number, modulo 256."""
+    """The sender lacks rights for an account. `window` is the window's number modulo 256."""
 
     account: int
     plan_index: int
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Units that the sender has given the receiver's life in this window, in all."""
+    """Rights given to the receiver: the sum of all grants of the sender in this window.
+
+    As it is a sum, a repeated grant counts once. It is valid for one incarnation of the receiver only.
+    """
 
     account: int
     window: int
@@ -41,7 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """`down`: the sender is without the quota counter. `number` grows with each message of a life."""
+    """A lease message.
+
+    `incarnation` is larger at each start of the sender, `sequence` at each message of an incarnation.
+    `without_counter` says that the counter does not answer the sender in time.
+    """
 
     sender: int
     incarnation: int
@@ -61,6 +68,7 @@
 
 
 def encode_message(message: Message, secret: bytes = b"") -> bytes:
+    """Encodes and signs a message. Units are rounded to tenths."""
     needs = [
         (n.account, n.plan_index, n.first_ingress, n.ingress_count, n.window,
          round(n.units * TENTHS_PER_UNIT))
@@ -77,7 +85,7 @@
 
 
 def decode_message(data: bytes, secret: bytes = b"") -> Message | None:
-    """A peer's message; None where it is torn, foreign or says what cannot be. Never raises."""
+    """Decodes a peer's message; None if it is torn, wrongly signed or invalid. Never raises."""
     body = decode(data, VERSION, secret, _WireMessage)
     if body is None:
         return None
