--- a/opalgauge/zones/__init__.py
+++ b/opalgauge/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Zones as a fleet sees them: left together, returned to at the pace that their nodes bear."""
+"""Zone failover: a fleet leaves a failing zone together and returns no faster than its servers can bear."""
--- a/opalgauge/zones/driver.py
+++ b/opalgauge/zones/driver.py
@@ -1,4 +1,4 @@
-"""The edge of `opalgauge.zones`: steps the watch by a timer, carries its messages, reports what it judges."""
+"""Drives the zone watch: steps it by a timer and connects it to the reducer and the peers."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from opalgauge.zones import messages
 from opalgauge.zones.watch import ChangeShare, LogLine, SendMessage, ZoneConfig, ZoneWatch
 
-STEP_INTERVAL = 0.05  # s between steps
+STEP_INTERVAL = 0.05  # seconds
 
 
 class ZoneDriver:
-    """What one ingress judges of zones, beside its reducer. `wire`: to the other ingresses.
+    """Runs one ingress's zone watch beside its reducer. `report` takes events for the reducer.
 
-    Where it does not act, it judges and shows what it would do, and every zone keeps its whole share.
+    Without `enforce` in the settings it only logs and shows what it would do, and all zones keep their share.
     """
 
     def __init__(
@@ -41,16 +41,20 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Takes a step now and every `STEP_INTERVAL` from now on."""
         self._step()
 
     def close(self) -> None:
+        """Stops the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
     def on_attempt(self, effect: ReportAttempt) -> None:
+        """An attempt or a trial has begun or ended."""
         self.watch.record_attempt(effect, self.now())
 
     def on_servers(self, effect: ReportServers) -> None:
+        """The server list has changed."""
         self.watch.update_servers(effect.entries)
 
     def _on_datagram(self, data: bytes) -> bool:
@@ -77,7 +81,7 @@
         return "-" if when is None else f"{(now - when).total_seconds():.2f}"
 
     def figures(self) -> list[str]:
-        """Lines for the admin endpoint: each zone's state, since when (s), its share and why; the peers."""
+        """Lines for the admin endpoint: of each zone state, its age (s), share and reason; of the peers."""
         now, lines = self.now(), []
         for status in self.watch.zones:
             lines += [
--- a/opalgauge/zones/fleet.py
+++ b/opalgauge/zones/fleet.py
@@ -1,7 +1,7 @@
-"""What the ingresses of a fleet say to each other of zones, who of them is alive, and what they agree on.
+"""The newest zone message of each peer: who is alive, and how the fleet votes. No I/O, no clock.
 
-No I/O, no clock. Messages get lost, come late and out of order: only the newest one of each ingress counts,
-and only for so long. Nothing here waits for an answer.
+Messages get lost, come late and out of order. Only the newest one of each peer counts, and only while it is
+fresh. Nothing here waits for an answer.
 """
 
 from __future__ import annotations
@@ -12,36 +12,38 @@
 from opalgauge.zones.health import Opinion
 from opalgauge.zones.messages import Message, ZoneState
 
-MESSAGE_MAX_AGE = timedelta(milliseconds=1500)  # six messages: with half of them lost, one in 60 is unheard
-ALIVE_WITHIN = timedelta(seconds=6)  # an ingress not heard for so long is not counted
+MESSAGE_MAX_AGE = timedelta(milliseconds=1500)  # six intervals: at 50% loss a peer is unheard 1 time in 60
+ALIVE_WITHIN = timedelta(seconds=6)  # a peer silent for longer is not counted
 
 
 @dataclass(frozen=True, slots=True)
 class Votes:
-    """Opinions of a zone, this ingress's own among them, and what fresh messages say of its trials."""
+    """The votes on one zone.
+
+    `failing`, `healthy` and `slow` count opinions, this ingress's own included. `good_trials` and
+    `bad_trials` are those of the peers that have left the zone. `left` counts these peers, `heard` all with a
+    fresh message.
+    """
 
     failing: int
     healthy: int
     slow: int
     good_trials: int
     bad_trials: int
-    returning_since: datetime | None  # the latest start that a peer tells, while most do not say it is left
+    returning_since: datetime | None  # the latest start of a return at a peer
     left: int
-    heard: int  # peers with a fresh message
+    heard: int
 
 
 class Fleet:
-    """The newest message of each peer."""
+    """Keeps the newest message of each peer. `configured_size` is the number of ingresses in the settings."""
 
     def __init__(self, own_index: int, configured_size: int) -> None:
-        self.own_index, self.configured_size = (
-            own_index,
-            max(1, configured_size),
-        )  # `told`: how many ingresses the settings know
+        self.own_index, self.configured_size = own_index, max(1, configured_size)
         self.messages: dict[int, tuple[datetime, Message]] = {}
 
     def accept(self, message: Message, now: datetime) -> bool:
-        """Takes a message unless a newer one of that ingress is known; False: it is old, or our own."""
+        """Stores a message. Returns False if it is outdated, or not from a configured peer."""
         if message.sender == self.own_index or not 0 <= message.sender < self.configured_size:
             return False
         known = self.messages.get(message.sender)
@@ -54,16 +56,18 @@
         return True
 
     def count_alive(self, now: datetime) -> int:
-        """How many ingresses there are, this one with them. Where nobody is heard, all that were told of."""
+        """The number of live ingresses, this one included. If no peer is heard, the configured number."""
         heard = sum(now - at <= ALIVE_WITHIN for at, _ in self.messages.values())
         return 1 + heard if heard else self.configured_size
 
     def is_cut_off(self, now: datetime) -> bool:
+        """Whether there should be peers, but no message of any is fresh."""
         return self.configured_size > 1 and not any(
             now - at <= MESSAGE_MAX_AGE for at, _ in self.messages.values()
         )
 
     def count_votes(self, zone: int, own: Opinion, now: datetime) -> Votes:
+        """The votes on a zone, given this ingress's own opinion."""
         recent = [
             (now - at, message.zones[zone])
             for at, message in self.messages.values()
@@ -77,7 +81,7 @@
             failing=opinions.count(Opinion.FAILING),
             healthy=opinions.count(Opinion.HEALTHY),
             slow=opinions.count(Opinion.SLOW),
-            # Those of who has returned since are no sign for who has left it again.
+            # Trials of a peer that has returned meanwhile say nothing to an ingress that has left again.
             good_trials=sum(report.good_trials for _, report in recent if report.state is ZoneState.LEFT),
             bad_trials=sum(report.bad_trials for _, report in recent if report.state is ZoneState.LEFT),
             returning_since=max(returning_since) if returning_since else None,
--- a/opalgauge/zones/health.py
+++ b/opalgauge/zones/health.py
@@ -1,4 +1,4 @@
-"""What one ingress sees of each zone by its own attempts. No I/O, no clock."""
+"""Failure detector for zones, based on the attempts of one ingress. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -13,27 +13,23 @@
 
 from starlinggap.interface import End
 
-OBSERVATION_WINDOW = timedelta(seconds=3)  # what is older says nothing of now
-MAX_OUTCOMES = 400  # ends remembered of a zone
-MIN_FAILURES = 3  # failures in a row, before a zone is said to fail
-REQUIRED_FAILED_SHARE = 2 / 3  # of its nodes have to be among them: half a zone gone is no zone gone
-MAX_REQUIRED_FAILED = (
-    4  # and no more than so many: in a large zone one ingress would not meet them all for long
-)
-HEALTHY_FAILURE_SHARE, HEALTHY_SUCCESSES = (
-    0.3,
-    2,
-)  # a zone is well with fewer failures than that, and so many good ends last
-SLOW_ENTER_RATIO, SLOW_EXIT_RATIO = 2.0, 1.5  # times the other zones' time
-MIN_LATENCY_SAMPLES, MAX_LATENCY_SAMPLES = 8, 16  # answers by which its pace is judged, the newest ones
-LATENCY_WINDOW = timedelta(seconds=10)  # and none older: a slow zone gets little, and is still judged by it
-OVERDUE_FACTOR = 4.0  # times the usual time of its kind: an attempt still out then counts as failed
+OBSERVATION_WINDOW = timedelta(seconds=3)  # older outcomes are dropped
+MAX_OUTCOMES = 400  # kept per zone
+MIN_FAILURES = 3  # in a row, before a zone counts as failing
+REQUIRED_FAILED_SHARE = 2 / 3  # of a zone's servers must be among them: half a zone is no failed zone
+MAX_REQUIRED_FAILED = 4  # servers are enough in a large zone, where one ingress takes long to meet more
+# A zone is healthy with at most this share of failures, and this many successes last.
+HEALTHY_FAILURE_SHARE, HEALTHY_SUCCESSES = 0.3, 2
+SLOW_ENTER_RATIO, SLOW_EXIT_RATIO = 2.0, 1.5  # latency relative to the other zones
+MIN_LATENCY_SAMPLES, MAX_LATENCY_SAMPLES = 8, 16  # per zone, the newest ones
+LATENCY_WINDOW = timedelta(seconds=10)  # long enough to judge a slow zone by the little that it gets
+OVERDUE_FACTOR = 4.0  # times the expected latency: an attempt without an end by then counts as failed
 MIN_OVERDUE = timedelta(milliseconds=300)
 FAILED_ENDS = (End.ERROR, End.RESET, End.TIMEOUT, End.CONNECT_FAILED)
 
 
 class Opinion(IntEnum):
-    """What an ingress says of a zone; it goes over the wire."""
+    """An ingress's opinion of a zone. The numbers are sent to peers."""
 
     UNSURE = 0
     HEALTHY = 1
@@ -43,7 +39,11 @@
 
 @dataclass(slots=True)
 class ZoneObservations:
-    """Its ends, the newest last: when, at which node, whether good. Good ones' time over usual."""
+    """Recent attempts in a zone, the newest last.
+
+    `outcomes` holds time, server and success. `latency_ratios` holds time and latency of the successful ones,
+    relative to the expected latency of their class.
+    """
 
     outcomes: deque[tuple[datetime, int, bool]] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
     latency_ratios: deque[tuple[datetime, float]] = field(
@@ -53,12 +53,17 @@
 
 
 class ZoneHealth:
-    """Judges zones by attempts alone. `usual`: the time that an answer of a kind takes, learned (s)."""
+    """Judges zones by this ingress's attempts alone.
+
+    `expected_times` holds the expected latency of each class; it starts with the given values and is learned
+    from then on.
+    """
 
     def __init__(self, zones: int, expected_times: Iterable[timedelta]) -> None:
         self.zones = [ZoneObservations() for _ in range(zones)]
         self.expected_times = [u.total_seconds() for u in expected_times]
-        self.in_flight: dict[tuple[int, int], tuple[int, int, int, datetime]] = {}  # zone, node, kind, since
+        # Zone, server, class and start, by attempt.
+        self.in_flight: dict[tuple[int, int], tuple[int, int, int, datetime]] = {}
 
     def begin_attempt(
         self, key: tuple[int, int], zone: int, server: int, class_index: int, now: datetime
@@ -67,9 +72,10 @@
             self.in_flight[key] = zone, server, class_index, now
 
     def end_attempt(self, key: tuple[int, int], end: End, now: datetime, is_trial: bool = False) -> None:
-        """An end that says nothing of the zone (turned away, called off) only ends it.
+        """An attempt has ended.
 
-        Nor does a trial's good end: nodes may answer trials and fail at requests.
+        Rejections and cancellations say nothing of the zone and are not counted, unless a cancelled attempt
+        was overdue. A successful trial is not counted either: a server may answer trials and fail requests.
         """
         zone, server, class_index, since = self.in_flight.pop(key, (-1, 0, 0, now))
         if zone < 0:
@@ -86,19 +92,21 @@
             self.zones[zone].outcomes.append((now, server, False))
 
     def forget_zone(self, zone: int) -> None:
-        """What was seen before it was left says nothing of its return."""
+        """Drops the outcomes of a zone that is being left: they say nothing of its return."""
         self.zones[zone].outcomes.clear()
         self.zones[zone].latency_ratios.clear()
 
     def drop_attempt(self, key: tuple[int, int]) -> None:
+        """An attempt has ended, and its outcome does not count."""
         self.in_flight.pop(key, None)
 
     def assess(
         self, now: datetime, valid_from: Sequence[datetime], server_counts: Sequence[int]
     ) -> list[Opinion]:
-        """The opinion of each zone, in their order. What began before a zone's mark says nothing of it.
+        """Returns the opinion on each zone, in order.
 
-        `sizes`: how many nodes are listed in each.
+        Attempts that began before a zone's `valid_from` are not overdue. `server_counts` is the number of
+        listed servers in each zone.
         """
         for zone in self.zones:
             while zone.outcomes and now - zone.outcomes[0][0] > OBSERVATION_WINDOW:
@@ -115,12 +123,12 @@
         return [self._judge(n, zone_ratios, overdue[n], server_counts[n]) for n in range(len(self.zones))]
 
     def quiet_for(self, zone: int, now: datetime) -> timedelta:
-        """For how long nothing has ended there; none where nothing is known of late."""
+        """Time since the latest outcome in a zone; zero if no recent one is known."""
         outcomes = self.zones[zone].outcomes
         return now - outcomes[-1][0] if outcomes else timedelta(0)
 
     def failed_servers(self, zone: int) -> list[int]:
-        """The nodes at which it failed since anything there ended well, the newest first."""
+        """The servers of the failures since the latest success in a zone, the newest first."""
         outcomes = reversed(self.zones[zone].outcomes)
         return [server for _, server, _ in takewhile(lambda outcome: not outcome[2], outcomes)]
 
@@ -159,7 +167,7 @@
 
     @staticmethod
     def _relative_latency(zone_number: int, zone_ratios: list[float | None]) -> float | None:
-        """Its time over the other zones': what makes all of them slower makes none of them a slow zone."""
+        """A zone's latency over that of the others, so that a slowdown of all makes none of them slow."""
         own_ratio, others = (
             zone_ratios[zone_number],
             [ratio for n, ratio in enumerate(zone_ratios) if n != zone_number and ratio is not None],
@@ -167,7 +175,7 @@
         return own_ratio / max(median(others), 0.5) if own_ratio is not None and others else None
 
     def slowdown(self, zone_number: int) -> float:
-        """How many times slower than the other zones it answers; 1 where that is not known."""
+        """How many times slower than the other zones a zone answers; 1 if that is not known."""
         return max(
             1.0,
             self._relative_latency(zone_number, [self._median_latency_ratio(zone) for zone in self.zones])
--- a/opalgauge/zones/messages.py
+++ b/opalgauge/zones/messages.py
@@ -1,7 +1,8 @@
-"""One ingress's message to its peers: a datagram of at most 256 bytes. No I/O.
+"""Zone messages between ingresses: datagrams of at most 256 bytes. No I/O.
 
-MessagePack by msgspec, behind two bytes of version and before a keyed digest (BLAKE2b, 8 bytes). What is
-torn, foreign or of another version is no message; it is dropped and counted by whoever reads.
+Encoded with msgspec as MessagePack arrays, preceded by two version bytes and followed by a keyed digest
+(BLAKE2b, 8 bytes). The receiver drops and counts datagrams that are torn, wrongly signed or of another
+version.
 """
 
 from __future__ import annotations
@@ -22,7 +23,11 @@
 
 
 class ZoneState(IntEnum):
-    """Where a zone stands with an ingress; it goes over the wire."""
+    """State of a zone at an ingress. The numbers are sent to peers; the names are shown at the admin endpoint.
+
+    IN: in full use. SLOW: in use with a reduced share. LEFT: only trials are sent there. RETURNING: the
+    share grows back.
+    """
 
     IN = 0
     SLOW = 1
@@ -32,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneReport:
-    """Of one zone. `age`: how long its state has held."""
+    """What an ingress tells of one zone. `age` is the time since its state began."""
 
     opinion: Opinion
     state: ZoneState
@@ -43,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """`life` grows with each start of the sender, `number` with each message of a life."""
+    """A report of all zones, in the order of the settings.
+
+    `incarnation` is larger at each start of the sender, `sequence` at each message of an incarnation.
+    """
 
     sender: int
     incarnation: int
@@ -59,7 +67,7 @@
 
 
 def encode_message(message: Message, secret: bytes = b"") -> bytes:
-    """At most 256 bytes for MOST_ZONES zones."""
+    """Encodes and signs a message. Only the first `MAX_ZONES` zones fit the 256 bytes and are sent."""
     rows = [
         (
             int(z.opinion), int(z.state), min(z.age // TENTH_OF_SECOND, MAX_TENTHS),
@@ -74,7 +82,7 @@
 
 
 def decode_message(data: bytes, secret: bytes = b"") -> Message | None:
-    """A peer's message; None where it is torn, foreign or says what cannot be. Never raises."""
+    """Decodes a peer's message; None if it is torn, wrongly signed or invalid. Never raises."""
     body = decode(data, VERSION, secret, _WireMessage)
     if body is None:
         return None
--- a/opalgauge/zones/watch.py
+++ b/opalgauge/zones/watch.py
@@ -1,10 +1,10 @@
-"""When a zone is left, when it is tried again, and how fast it is returned to. No I/O, no clock.
+"""Decides when a zone is left, when it is tried again, and how fast traffic returns to it. No I/O, no clock.
 
-    IN ──(most who have an opinion see it fail)──► LEFT ──(two trials answered, more than fail)──► RETURNING
-    IN ◄──(its ramp is over)─────────────────────────────────────────────────────────────────────────┘
+    IN ──(most ingresses with an opinion see it fail)──► LEFT ──(two good trials, more than bad)──► RETURNING
+    IN ◄──(the ramp-up is complete)───────────────────────────────────────────────────────────────────┘
     IN ◄──► SLOW: it answers, but far later than the other zones
 
-Stepped by what is seen (`seen`), heard (`heard`), listed (`listed`) and by time (`tick`).
+The inputs are attempts, messages of peers, the server list, and time.
 """
 
 from __future__ import annotations
@@ -22,36 +22,27 @@
 from starlinggap.interface import End, ServerEntry
 from starlinggap.interface import Health as ServerHealth
 
-QUORUM = 2  # who see it fail, and more than see it well
-SOLO_FAILURE_TIME = timedelta(
-    milliseconds=500
-)  # it fails for so long, and nobody says otherwise: one ingress is enough
-INITIAL_HOLD, MAX_HOLD = timedelta(seconds=1), timedelta(seconds=30)  # after leaving, before the first trial
-FLAP_WINDOW = timedelta(seconds=30)  # left again within so long of a return: the hold doubles
-FLEET_TRIALS_PER_SECOND = 2.0  # a second, of the whole fleet, to one zone
-TRIAL_INTERVAL = timedelta(milliseconds=500)  # after a trial that was answered, the next
-DOUBT_TRIAL_INTERVAL = timedelta(
-    milliseconds=150
-)  # between trials of a zone in doubt, by one who hears nobody
+QUORUM = 2  # ingresses that see a zone fail; they must also outnumber those that see it work
+SOLO_FAILURE_TIME = timedelta(milliseconds=500)  # after which one ingress is enough if nobody disagrees
+INITIAL_HOLD, MAX_HOLD = timedelta(seconds=1), timedelta(seconds=30)  # between leaving and the first trial
+FLAP_WINDOW = timedelta(seconds=30)  # a zone left again this soon after a return is held twice as long
+FLEET_TRIALS_PER_SECOND = 2.0  # by the whole fleet, per zone
+TRIAL_INTERVAL = timedelta(milliseconds=500)  # between an answered trial and the next one
+DOUBT_TRIAL_INTERVAL = timedelta(milliseconds=150)  # between trials of a doubtful zone without peers
 TRIAL_MAX_AGE = timedelta(seconds=4)
 MIN_GOOD_TRIALS = 2
-MAX_MESSAGE_DELAY = timedelta(milliseconds=200)  # a message's way, and what its tenths round away
-RAMP_MARGIN = 0.8  # of what the settings say that cold nodes bear, at the start of a ramp
-MIN_SLOW_SHARE = 0.25  # of a whole share: a slow zone keeps so much, or nobody would see it recover
-MIN_SHARE_CHANGE = 0.02  # shares that differ by less are not told again
-SEND_INTERVAL = timedelta(milliseconds=250)  # between messages; twice that where there are many peers
-SMALL_FLEET_PEERS, FANOUT = (
-    12,
-    16,
-)  # peers: to more than FEW messages go half as often, to at most FANOUT at a time
-CHANGE_INTERVAL_FACTOR = (
-    0.5  # of that pause: a change is told no sooner after the last message, or it would pass the budget
-)
+MAX_MESSAGE_DELAY = timedelta(milliseconds=200)  # delivery time plus the rounding of ages to tenths
+RAMP_MARGIN = 0.8  # of the share that cold servers bear by the settings, at the start of the ramp-up
+MIN_SLOW_SHARE = 0.25  # kept by a slow zone, so that its recovery is seen
+MIN_SHARE_CHANGE = 0.02  # smaller changes of a share are not reported
+SEND_INTERVAL = timedelta(milliseconds=250)  # between messages; doubled in large fleets
+SMALL_FLEET_PEERS, FANOUT = 12, 16  # peers before the interval doubles, and most receivers of a message
+CHANGE_INTERVAL_FACTOR = 0.5  # of the interval before a changed state is sent; keeps to the datagram budget
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeShare:
-    """The share of a zone from now on, and the node that is to be tried there; 0: none."""
+    """Set the share of a zone, and have a server of it tried; 0: none."""
 
     zone: int
     share: float
@@ -60,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """A message to these peers, by their numbers."""
+    """Send a message to these peers."""
 
     peers: tuple[int, ...]
     message: Message
@@ -68,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log."""
+    """Write a log line."""
 
     text: str
 
@@ -78,25 +69,29 @@
 
 @dataclass(slots=True)
 class ZoneStatus:
-    """Where a zone stands with this ingress."""
+    """State of a zone at this ingress.
+
+    `reason` says why the zone is in its state. `share` is the fraction of its usual traffic that it gets, and
+    `reported_share` the one last reported. `hold` is the time between leaving the zone and its first trial.
+    """
 
     name: str
     since: datetime
     state: ZoneState = ZoneState.IN
     reason: str = "since the start"
     share: float = 1.0
-    reported_share: float = 1.0  # the share that was told last
-    last_attempt_at: datetime | None = None  # when the newest attempt there began, trials left out
-    no_success_since: datetime | None = None  # since when nothing there has ended well
-    valid_from: datetime = datetime.min  # attempts begun before it say nothing of the zone any more
-    failing_since: datetime | None = None
-    returned_at: datetime | None = None  # when it was last returned to
+    reported_share: float = 1.0
+    last_attempt_at: datetime | None = None  # start of the latest attempt that is not a trial
+    no_success_since: datetime | None = None  # the first failure since the latest success
+    valid_from: datetime = datetime.min  # attempts that began earlier are ignored
+    failing_since: datetime | None = None  # in this ingress's own opinion
+    returned_at: datetime | None = None  # start of the latest return
     hold: timedelta = INITIAL_HOLD
     next_trial_at: datetime = datetime.min
     trials: deque[tuple[datetime, bool]] = field(default_factory=lambda: deque(maxlen=16))
 
     def good_trials(self, now: datetime) -> int:
-        """In a row, up to the newest."""
+        """The number of successful trials since the latest failed one, within `TRIAL_MAX_AGE`."""
         count = 0
         for when, good in reversed(self.trials):
             if not good or now - when > TRIAL_MAX_AGE:
@@ -105,24 +100,33 @@
         return count
 
     def bad_trials(self, now: datetime) -> int:
+        """1 if the latest trial has failed and is not too old, else 0."""
         return int(bool(self.trials) and not self.trials[-1][1] and now - self.trials[-1][0] <= TRIAL_MAX_AGE)
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneConfig:
-    """What the settings say: the zones' names, how many ingresses, this one's number, the cold start."""
+    """Settings of a zone watch.
+
+    `expected_times` are the initial latencies by class. `slow_start_share` is the share of its traffic that a
+    cold server bears, and `slow_start_duration` the time until it bears all of it. Without `enforce` nobody
+    acts on the shares, and attempts go on in zones that are left.
+    """
 
     zone_names: tuple[str, ...]
     fleet_size: int
     own_index: int
-    expected_times: tuple[timedelta, ...]  # the usual time of each kind, to begin with
+    expected_times: tuple[timedelta, ...]
     slow_start_duration: timedelta
     slow_start_share: float
-    enforce: bool = True  # False: nobody follows what is judged, and attempts go on in zones that are left
+    enforce: bool = True
 
 
 class ZoneWatch:
-    """`life`: larger at each start of this ingress, so that its old messages do not count."""
+    """The state of all zones at one ingress.
+
+    `incarnation` must be larger at each start of the ingress, so that its older messages do not count.
+    """
 
     def __init__(self, config: ZoneConfig, now: datetime, incarnation: int, seed: int) -> None:
         self.config, self.incarnation, self.last_sequence = config, incarnation, 0
@@ -135,11 +139,13 @@
         self.state_changed = False
         self.actions: list[Action] = []
 
-    # --- what comes in -------------------------------------------------------------------------------------
+    # --- inputs --------------------------------------------------------------------------------------------
     def update_servers(self, entries: Sequence[ServerEntry]) -> None:
+        """Takes the server list. Only servers that are ready count."""
         self.servers = {e.server: e for e in entries if e.health is ServerHealth.READY}
 
     def record_attempt(self, effect: ReportAttempt, now: datetime) -> None:
+        """An attempt or a trial has begun or ended. Trials have request 0 in their key."""
         zone = effect.zone
         if zone >= len(self.zones):
             return
@@ -156,12 +162,12 @@
         if begun < status.valid_from:
             self.health.drop_attempt(effect.key)
         elif status.state is ZoneState.LEFT:
-            # Only trials are sent there; one that is turned away has been answered.
+            # Only trials are sent there. A rejected one has been answered.
             self.health.drop_attempt(effect.key)
             if effect.end is not End.CANCELLED and effect.end is not End.NOT_SENT:
                 good = effect.end in (End.OK, End.REJECTED)
                 status.trials.append((now, good))
-                if good:  # whoever has an answer makes sure of it, and need not wait for its turn
+                if good:  # confirmed by another trial soon, without waiting for the turn
                     status.next_trial_at = min(status.next_trial_at, now + TRIAL_INTERVAL)
         else:
             self.health.end_attempt(effect.key, effect.end, now, is_trial)
@@ -169,11 +175,12 @@
                 status.next_trial_at = max(status.next_trial_at, now + TRIAL_INTERVAL)
 
     def handle_message(self, message: Message, now: datetime) -> None:
+        """A peer's message has come."""
         self.fleet.accept(message, now)
 
     # --- time ----------------------------------------------------------------------------------------------
     def tick(self, now: datetime) -> list[Action]:
-        """To be called some twenty times a second."""
+        """Does what is due and returns the actions. To be called about twenty times a second."""
         self.actions = []
         server_counts = Counter(e.zone for e in self.servers.values())
         valid_from = [status.valid_from for status in self.zones]
@@ -185,11 +192,11 @@
             for n, p in enumerate(self.zones)
         ]
         for n in range(len(self.zones)):
-            # One is left only where another is seen to serve, not where nothing is known of the others.
+            # A zone is left only if another one is known to serve.
             other_serves = any(in_use[k] and v.healthy + v.slow > 0 for k, v in enumerate(votes) if k != n)
             self._update_zone(n, own_opinions[n], votes[n], failing[n], other_serves, now)
         if not any(in_use) and any(p.state is ZoneState.LEFT for p in self.zones):
-            # Guards against leaving every zone: what is left of each of them is all that there is.
+            # Never leaves all zones: the servers that remain in them are all there is.
             for status in self.zones:
                 self._set_state(status, ZoneState.IN, "every zone fails, none is left", now, 1.0)
         for n, status in enumerate(self.zones):
@@ -210,7 +217,7 @@
         return self.actions
 
     def _is_failing(self, n: int, own_opinion: Opinion, votes: Votes, now: datetime) -> bool:
-        """Whether it fails for the fleet: a quorum of those who can tell, or this ingress and nobody else."""
+        """Whether the zone has failed: for a quorum, or for this ingress if nobody disagrees for a while."""
         status = self.zones[n]
         if own_opinion is not Opinion.FAILING:
             status.failing_since = None
@@ -229,7 +236,7 @@
         if status.state is ZoneState.LEFT:
             good = status.good_trials(now) + votes.good_trials
             bad = status.bad_trials(now) + votes.bad_trials
-            # Guards what was just left against a return that peers began before: they may leave it too.
+            # A return that peers began before this ingress left does not count: they may leave as well.
             returning_since = votes.returning_since
             if (
                 returning_since is not None
@@ -251,7 +258,7 @@
             and status.returned_at is None
             and self._ramp_share(now - votes.returning_since) < 1.0
         ):
-            # Guards a returning zone against an ingress that was restarted meanwhile and knows of nothing.
+            # An ingress that was restarted during the ramp-up joins it and does not send the full share.
             self._start_return(status, votes.returning_since, "others return to it", now)
         elif other_serves and own_opinion is not Opinion.HEALTHY and 2 * votes.left > max(1, votes.heard):
             self._leave(n, status, f"{votes.left} of {votes.heard} peers have left it", now)
@@ -265,9 +272,9 @@
 
     # --- changes -------------------------------------------------------------------------------------------
     def _ramp_share(self, age: timedelta) -> float:
-        """The share of a zone so long after its return began: what its nodes bear if they came back cold.
+        """The share of a zone at this age of its return: what its servers bear if they came back cold.
 
-        It is a share of draws, so that the sum over all ingresses does not depend on how many there are.
+        It is a fraction of each ingress's traffic, so the load does not depend on the number of ingresses.
         """
         initial = RAMP_MARGIN * self.config.slow_start_share
         if self.config.slow_start_duration <= timedelta(0):
@@ -279,7 +286,7 @@
         status.hold = min(MAX_HOLD, 2 * status.hold) if is_flapping else INITIAL_HOLD
         status.valid_from, status.failing_since = now, None
         status.trials.clear()
-        # Guards the first trials against coming from the whole fleet at once.
+        # Random, so that the first trials of the fleet do not come all at once.
         status.next_trial_at = now + status.hold + self._trial_turn(now) * self.rng.random()
         self.health.forget_zone(n)
         self._set_state(status, ZoneState.LEFT, reason, now, 0.0)
@@ -297,7 +304,7 @@
         self.state_changed = True
 
     def _trial_server(self, n: int, status: ZoneStatus, now: datetime) -> int:
-        """A node of a zone that is left, now and then: so many a second by the whole fleet."""
+        """The server to try in a zone that is left, or 0. Keeps to the trial rate of the fleet."""
         if now < status.next_trial_at:
             return 0
         status.next_trial_at = now + self._trial_turn(now) * (0.5 + self.rng.random())
@@ -308,10 +315,10 @@
         return sorted(e.server for e in self.servers.values() if e.zone == n)
 
     def _doubt_trial_server(self, n: int, status: ZoneStatus, now: datetime) -> int:
-        """Another node of a zone that has just failed or fallen silent, for who hears nobody.
+        """The server to try in a zone with recent failures or no recent outcomes, or 0.
 
-        The decisions keep away from nodes that failed, so its own requests there may never be enough to tell
-        whether the zone is gone or these nodes alone; with peers the fleet's are.
+        Only for an ingress that hears no peers. The gateway avoids servers that failed, so its own requests
+        may never tell whether the zone has failed or only these servers; with peers, those of the fleet do.
         """
         failed_servers = self.health.failed_servers(n)
         in_doubt = failed_servers or self.health.quiet_for(n, now) >= TRIAL_INTERVAL
@@ -323,7 +330,7 @@
         return self.rng.choice(untried or servers) if servers else 0
 
     def _trial_turn(self, now: datetime) -> timedelta:
-        """In which each ingress of the fleet makes one trial."""
+        """The time in which each ingress of the fleet makes one trial."""
         return timedelta(seconds=self.fleet.count_alive(now) / FLEET_TRIALS_PER_SECOND)
 
     def _send_messages(self, own_opinions: list[Opinion], now: datetime) -> None:
