--- a/opalgauge/replica/__init__.py
+++ b/opalgauge/replica/__init__.py
@@ -1,1 +1,1 @@
-"""What one ingress learns and the others need: replicated, merged by rules, caught up after a cut."""
+"""Replicated state: bans, ejections and quota use that each ingress shares with its peers."""
--- a/opalgauge/replica/driver.py
+++ b/opalgauge/replica/driver.py
@@ -1,4 +1,4 @@
-"""The edge of `opalgauge.replica`: between the reducer, its decisions' judgements and the other copies."""
+"""Drives a replica: steps its gossip by a timer and connects it to the reducer, the gateway and the peers."""
 
 from __future__ import annotations
 
@@ -16,16 +16,19 @@
 from opalgauge.wire.peers import PeerSocket
 from opalgauge.wire.server_list import server_id_for
 
-STEP_INTERVAL = 0.05  # s between steps
-EJECTION_QUORUM = 2  # other ingresses that have ejected a stock node: one may be cut off from it
-READY_POLL_INTERVAL = 0.01  # s
-TENTHS_PER_UNIT = 10  # of a unit
+STEP_INTERVAL = 0.05  # seconds
+EJECTION_QUORUM = 2  # peers that have ejected a server; a single one may be cut off from it
+READY_POLL_INTERVAL = 0.01  # seconds
+TENTHS_PER_UNIT = 10
 
-Ejection = tuple[int, float, int, float]  # stock node, its start, kind of request, until when (Unix s)
+Ejection = tuple[int, float, int, float]  # server, its start (s), request class, end (Unix s)
 
 
 class ReplicaDriver:
-    """One ingress's copy beside its reducer. `ejections`: what its own decisions have ejected now."""
+    """Runs one ingress's replica beside its reducer.
+
+    `report` takes events for the reducer. `ejections` returns the gateway's active ejections.
+    """
 
     def __init__(
         self,
@@ -48,38 +51,41 @@
         start_time = now()
         self.store = ReplicaStore(own_index, int(start_time.timestamp() * 1000))
         self.gossip = Gossip(self.store, fleet_size, start_time, seed)
-        self.published: dict[str, float] = {}  # what this ingress has told of itself, and until when
+        self.published: dict[str, float] = {}  # own ejections and their end (Unix s)
         self.ejection_quorum = min(EJECTION_QUORUM, max(1, fleet_size - 1))
         transport.handlers[messages.VERSION] = self._on_datagram
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Takes a step now and every `STEP_INTERVAL` from now on."""
         self.timer = self.loop.call_later(STEP_INTERVAL, self.start)
         self._publish_ejections()
         self.gossip.tick(self.now())
         self._run_outputs()
 
     async def wait_caught_up(self) -> None:
-        """Waits until the bans that the others know are known here; no longer than a start can bear."""
+        """Waits for the bans of the peers, at most for `CATCH_UP_TIMEOUT` of the gossip."""
         while not self.gossip.caught_up:
             await asyncio.sleep(READY_POLL_INTERVAL)
 
     def close(self) -> None:
+        """Stops the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
     def on_ban(self, effect: ReplicateBan) -> None:
+        """Staff have banned a server or lifted its ban at this ingress."""
         ban = effect.ban
         self.gossip.announce(self.store.set_ban(ban.name, ban.banned, self.now(), ban.at))
 
     def add_usage(self, account: int, window: int, ends_at: datetime, units: float) -> None:
-        """This ingress has spent so much more of an account's window that ends then."""
+        """This ingress has spent further units of an account's window."""
         name = self._usage_name(account, window, ends_at)
         self.gossip.announce(self.store.add_usage(name, round(units * TENTHS_PER_UNIT), self.now()))
 
     def usage(self, account: int, window: int, ends_at: datetime) -> float | None:
-        """Units that all ingresses have told of an account's window; None where none has."""
+        """Units of an account's window that all ingresses have reported; None if none has."""
         item = self.store.items.get((ItemKind.COUNT, self._usage_name(account, window, ends_at)))
         return item.total / TENTHS_PER_UNIT if isinstance(item, GrowOnlyCounter) else None
 
@@ -94,14 +100,14 @@
         return message is not None
 
     def _publish_ejections(self) -> None:
-        """What the decisions have ejected, or taken back by a good answer, since the last look."""
+        """Publishes what the gateway has ejected, or taken back after a good answer, since the last step."""
         now, held = self.now(), set()
         for server_id, server_start, class_index, until in self.ejections():
             name = f"{server_id}:{round(server_start * 1000)}:{class_index}"
             held.add(name)
             own = self.published.get(name)
             if own is None and len(self.store.ejected_by(name, now)) >= self.ejection_quorum:
-                continue  # heard of others, and not seen here
+                continue  # learned from peers, not seen here
             if own is None or until > own:
                 self.published[name] = until
                 at = datetime.fromtimestamp(until, UTC)
--- a/opalgauge/replica/gossip.py
+++ b/opalgauge/replica/gossip.py
@@ -1,10 +1,11 @@
-"""How copies come to be equal. No I/O, no clock.
+"""Gossip and anti-entropy between replicas. No I/O, no clock.
 
-What changes is said at once to the others (to some of them, who say it on, where they are many). Now and then
-a copy says the hashes of its branches to another; where they differ, those of the leaves are exchanged, and
-the items of the leaves that differ. So a message that is lost, late, repeated or overtaken costs time,
-nothing else. A copy that knows nothing asks to be told all of it, bans first, and says no
-hashes until it has been.
+A change is sent to all peers at once, or in large fleets to some that pass it on. Every round a replica sends
+its branch hashes to one peer. Where they differ, the two exchange the hashes of the leaves, and then the items
+of the leaves that differ. So a message that is lost, late, repeated or overtaken only costs time.
+
+A replica that starts empty asks its peers for everything, bans first, and sends no hashes until it has caught
+up.
 """
 
 from __future__ import annotations
@@ -18,54 +19,62 @@
 from opalgauge.replica.messages import Message, pack_items
 from opalgauge.replica.store import BAN_BRANCHES, BRANCHES, LEAVES, Change, Key, ReplicaStore
 
-ROUND_INTERVAL = timedelta(milliseconds=300)  # between two messages of hashes
-SUSPECT_AFTER = timedelta(seconds=5)  # a copy not heard for so long is taken to be gone, and asked seldom
-GONE_PEER_SHARE = 0.3  # times their share of all
-SMALL_FLEET_SIZE, FANOUT = 12, 4  # with more ingresses a change goes to so many, and on from each
-SEND_RATE, SEND_BURST = 40.0, 40.0  # messages a second, and at once: 80 in any second
-RETRY_DELAY = timedelta(milliseconds=80)  # after hashes that differed: what was said about it may be lost
-MAX_ANSWERED_BRANCHES = 4  # branches whose leaves are said in answer to one message
-CATCH_UP_TIMEOUT = timedelta(milliseconds=1500)  # who is told nothing serves without
-HELLO_INTERVAL = timedelta(milliseconds=250)  # between two askings to be told all
+ROUND_INTERVAL = timedelta(milliseconds=300)  # mean time between two sendings of branch hashes
+SUSPECT_AFTER = timedelta(seconds=5)  # without a message, after which a peer counts as gone
+GONE_PEER_SHARE = 0.3  # of the rounds that gone peers would get by their number
+SMALL_FLEET_SIZE, FANOUT = 12, 4  # with more ingresses, a replica passes a change on to FANOUT peers
+SEND_RATE, SEND_BURST = 40.0, 40.0  # messages per second and at once: at most 80 in any second
+RETRY_DELAY = timedelta(milliseconds=80)  # of hashes that differed, as the answer to them may be lost
+MAX_ANSWERED_BRANCHES = 4  # per message with branch hashes
+CATCH_UP_TIMEOUT = timedelta(milliseconds=1500)  # then a replica that was told nothing serves without
+HELLO_INTERVAL = timedelta(milliseconds=250)  # between two hellos of an empty replica
 EXPIRY_INTERVAL = timedelta(seconds=1)
-MAX_QUEUED = 2000  # messages; a copy so far behind is told the rest by hashes
+MAX_QUEUED = 2000  # messages; what is dropped beyond shows by the hashes
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
+    """Send a message to a peer. It may be lost."""
+
     peer: int
     message: Message
 
 
 @dataclass(slots=True)
 class Peer:
+    """What is known of a peer. `agreed_at` is the last time that its hashes equalled ours."""
+
     incarnation: int = -1
     heard_at: datetime | None = None
-    agreed_at: datetime | None = None  # when its hashes were last ours
+    agreed_at: datetime | None = None
 
 
 class Gossip:
-    """One copy among `ingresses`."""
+    """Keeps one replica equal to those of its peers.
+
+    `caught_up` says that the replica has the bans of its peers, or that it could not get them in time.
+    """
 
     def __init__(self, store: ReplicaStore, fleet_size: int, now: datetime, seed: int) -> None:
         self.store, self.now, self.started_at = store, now, now
         self.rng = random.Random(seed)
         self.peers = {n: Peer() for n in range(fleet_size) if n != store.own_index}
-        # Keys that a peer has not been told of since they changed, in the order of the changes.
+        # Changed keys that still have to be sent, by peer and in the order of the changes.
         self.pending_changes: dict[int, dict[Key, None]] = {n: {} for n in self.peers}
         self.send_queue: deque[tuple[int, Message]] = deque()
         self.send_credit, self.credit_updated_at = SEND_BURST, now
         self.next_round_at = now + ROUND_INTERVAL * self.rng.random()
         self.next_hello_at = self.last_expiry_at = now
         self.caught_up = not self.peers
-        self.differing_peer: int | None = None  # whose hashes were other ones when it was last heard
-        self.empty_peers: set[int] = set()  # peers that knew nothing when they were last heard
+        self.differing_peer: int | None = None  # the last peer whose hashes differed
+        self.empty_peers: set[int] = set()  # sent a hello, and no hashes since
         self.last_sequence = 0
         self.sent_count = 0
         self.outgoing: list[SendMessage] = []
-        self.received_changes: list[Change] = []  # what others have told, for whoever decides by it
+        self.received_changes: list[Change] = []  # from peers, for the reducer
 
     def take_outputs(self) -> tuple[list[SendMessage], list[Change]]:
+        """Returns the messages to send, and the changes from peers, since the last call."""
         outgoing, self.outgoing, received_changes, self.received_changes = (
             self.outgoing,
             [],
@@ -74,9 +83,9 @@
         )
         return outgoing, received_changes
 
-    # --- what comes in -------------------------------------------------------------------------------------
+    # --- inputs --------------------------------------------------------------------------------------------
     def announce(self, change: Change | None, learned_from: int = -1) -> None:
-        """An item is other than it was; the others are told."""
+        """Sends a change to the peers. `learned_from` is the peer that it came from; -1: this ingress."""
         if change is None:
             return
         others = [n for n in self.peers if n != learned_from]
@@ -84,11 +93,12 @@
             alive = [n for n in others if self._is_alive(n)] or others
             others = self.rng.sample(alive, min(FANOUT, len(alive)))
         elif learned_from >= 0:
-            return  # its maker tells all
+            return  # its source sends it to all
         for n in others:
             self.pending_changes[n][change.key] = None
 
     def handle_message(self, message: Message, now: datetime) -> None:
+        """A peer's message has come."""
         self.now = max(self.now, now)
         peer = self.peers.get(message.sender)
         if peer is None or message.incarnation < peer.incarnation:
@@ -107,7 +117,7 @@
             self._send_differing_leaves(message.sender, *message.leaf_hashes)
 
     def tick(self, now: datetime) -> None:
-        """To be called some twenty times a second."""
+        """Does what is due. To be called about twenty times a second."""
         self.now = max(self.now, now)
         if self.now - self.last_expiry_at >= EXPIRY_INTERVAL:
             self.last_expiry_at = self.now
@@ -137,7 +147,7 @@
                     )
         self._send_queued()
 
-    # --- equal or not --------------------------------------------------------------------------------------
+    # --- anti-entropy --------------------------------------------------------------------------------------
     def _branch_hashes(self) -> tuple[bytes, ...]:
         return tuple(self.store.branch_hashes)
 
@@ -153,8 +163,8 @@
             self.next_round_at = min(self.next_round_at, self.now + RETRY_DELAY)
             self.differing_peer = peer
         for n in differing[:MAX_ANSWERED_BRANCHES]:
-            # What the branch holds, where that is little, need not wait for hashes to go to and fro: where
-            # half of the messages are lost each more of them that has to arrive doubles the time.
+            # A branch that fits one message is sent with the hashes and does not wait for the answer to them:
+            # at 50% loss, each further message that has to arrive doubles the time.
             batches = list(islice(pack_items(self.store.branch_items(n)), 2))
             if len(batches) == 1:
                 self._enqueue(
@@ -184,13 +194,13 @@
             )
 
     def _send_everything(self, peer: int) -> None:
-        """For one that knows nothing. What it misses of it shows by hashes."""
+        """Sends all items to an empty replica. What gets lost shows by the hashes."""
         if any(n == peer and message.items for n, message in self.send_queue):
-            return  # it is being told
+            return  # already on the way
         everything = (i for b in range(BRANCHES) for i in self.store.branch_items(b))
         bans = (i for b in range(BAN_BRANCHES) for i in self.store.branch_items(b))
         own_index, incarnation = self.store.own_index, self.store.incarnation
-        # The first of the others tells all of it, the rest the bans: a message may be lost.
+        # The peer with the lowest number sends everything. All others send the bans, as messages may be lost.
         lowest = min(k for k in (own_index, *self.peers) if k != peer)
         for batch in pack_items(everything if lowest == own_index else bans):
             self._enqueue(peer, Message(own_index, incarnation, 0, items=batch))
@@ -198,7 +208,7 @@
             self._enqueue(peer, Message(own_index, incarnation, 0, branch_hashes=self._branch_hashes()))
 
     def _catch_up(self) -> None:
-        # Where all have just started there is nothing to be told.
+        # If all replicas have just started, there is nothing to catch up with.
         if self.now - self.started_at >= CATCH_UP_TIMEOUT or len(self.empty_peers) == len(self.peers):
             self.caught_up = True
         elif self.now >= self.next_hello_at:
@@ -208,7 +218,7 @@
                     n, Message(self.store.own_index, self.store.incarnation, 0, hello=True), urgent=True
                 )
 
-    # --- who and when --------------------------------------------------------------------------------------
+    # --- peers and sending ---------------------------------------------------------------------------------
     def _is_alive(self, peer: int) -> bool:
         heard_at = self.peers[peer].heard_at
         return heard_at is not None and self.now - heard_at <= SUSPECT_AFTER
@@ -222,7 +232,7 @@
 
     def _enqueue(self, peer: int, message: Message, urgent: bool = False) -> None:
         if len(self.send_queue) >= MAX_QUEUED:
-            return  # guards the memory; the hashes will tell
+            return  # bounds the memory; the hashes will show what is missing
         if urgent:
             self.send_queue.appendleft((peer, message))
         else:
@@ -239,9 +249,10 @@
             self.outgoing.append(SendMessage(peer, replace(message, sequence=self.last_sequence)))
 
     def count_alive(self) -> int:
+        """The number of live replicas, this one included."""
         return 1 + sum(self._is_alive(n) for n in self.peers)
 
     def count_agreeing(self) -> int:
-        """Copies whose hashes were this one's within the last few rounds."""
+        """The number of peers whose hashes equalled this replica's within the last few rounds."""
         since = self.now - ROUND_INTERVAL * 4 * max(1, len(self.peers))
         return sum(p.agreed_at is not None and p.agreed_at >= since for p in self.peers.values())
--- a/opalgauge/replica/messages.py
+++ b/opalgauge/replica/messages.py
@@ -1,8 +1,8 @@
-"""What copies say to each other: datagrams of at most 256 bytes. No I/O.
+"""Replication messages between ingresses: datagrams of at most 256 bytes. No I/O.
 
-MessagePack by msgspec, sealed as all messages between ingresses are; the version is its first two bytes. It
-says one of: items; the hashes of all branches; the hashes of a branch's leaves; or that its sender
-knows nothing.
+Encoded with msgspec as MessagePack arrays and signed like all messages between ingresses; the first two bytes
+are the version. A message holds items, or the hashes of all branches, or those of one branch's leaves, or the
+hello of a replica that has nothing yet.
 """
 
 from __future__ import annotations
@@ -18,16 +18,18 @@
 from opalgauge.replica.store import BRANCHES, HASH_SIZE, ITEM_TYPES, LEAVES, Key
 
 VERSION = b"\x5a\x21"
-ENVELOPE_SIZE = 24  # bytes of a message round its items, at most
-MAX_ROWS = 4  # sources or tags in one piece of an item
+ENVELOPE_SIZE = 24  # bytes of a message besides its items, at most
+MAX_ROWS = 4  # sources or tags per part of a split item
 MAX_NAME_LENGTH = 100  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """`number` grows with each message of a life. One of the rest is said.
+    """A replication message, with one of items, branch hashes, leaf hashes and hello.
 
-    `leaf` hashes with `back`: an answer to the receiver's own, not to be answered with more hashes.
+    `incarnation` is larger at each start of the sender, `sequence` at each message of an incarnation.
+    `leaf_hashes` holds the branch, the hashes, and whether they answer the receiver's own; such an answer is
+    not answered with hashes again.
     """
 
     sender: int
@@ -50,6 +52,7 @@
 
 
 def encode_message(message: Message, secret: bytes = b"") -> bytes:
+    """Encodes and signs a message. Its items must fit, as those of `pack_items` do."""
     leaf_hashes = message.leaf_hashes
     body = _WireMessage(
         message.sender, message.incarnation, message.sequence, message.hello,
@@ -61,7 +64,7 @@
 
 
 def decode_message(data: bytes, secret: bytes = b"") -> Message | None:
-    """Another copy's message; None where it is torn, foreign or says what cannot be. Never raises."""
+    """Decodes a peer's message; None if it is torn, wrongly signed or invalid. Never raises."""
     body = decode(data, VERSION, secret, _WireMessage)
     if body is None:
         return None
@@ -100,7 +103,7 @@
 
 
 def pack_items(items: Iterable[tuple[Key, Item]]) -> Iterator[tuple[tuple[Key, Item], ...]]:
-    """As many items as fit, datagram by datagram; what is too long for one goes in pieces."""
+    """Yields the items of one datagram after the other. Splits items that are too long for one."""
     capacity = MAX_DATAGRAM_SIZE - DIGEST_SIZE - VERSION_SIZE - ENVELOPE_SIZE
     batch: list[tuple[Key, Item]] = []
     used = 0
--- a/opalgauge/replica/store.py
+++ b/opalgauge/replica/store.py
@@ -1,7 +1,7 @@
-"""One ingress's copy of all that is replicated, and its digests by branch. No I/O, no clock.
+"""One ingress's replica of the shared state, with a hash tree over it. No I/O, no clock.
 
-The items hang in a tree of 16 branches of 16 leaves, by the hash of their keys; bans have branches of their
-own, so that it can be told whether two copies agree on these. Copies are equal if their branches' hashes are.
+The hash of its key places an item in a tree of 16 branches with 16 leaves each. Bans have branches of their
+own, so that two replicas can tell whether they agree on these. Replicas are equal if their branch hashes are.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from opalgauge.replica.crdt import GrowOnlyCounter, Item, LwwRegister, ObservedRemoveSet, merge
 
 BRANCHES, LEAVES, BAN_BRANCHES = 16, 16, 4
-HASH_SIZE = 6  # bytes of a branch's or a leaf's digest
-MAX_ITEMS = 6000  # a copy that is full takes no new counts and judgements; bans have room for themselves
+HASH_SIZE = 6  # bytes of the hash of a branch or a leaf
+MAX_ITEMS = 6000  # a full replica refuses new counts and ejections; bans have their own limit
 MAX_BANS = 1000
-LIFTED_BAN_KEPT = timedelta(hours=1)  # a ban that was lifted so long ago may be forgotten, to make room
-EXPIRY_GRACE = timedelta(seconds=30)  # what has aged out is kept so long: clocks differ
+LIFTED_BAN_KEPT = timedelta(hours=1)  # then a lifted ban may be dropped to make room
+EXPIRY_GRACE = timedelta(seconds=30)  # for which expired items are kept, as clocks differ
 
 
 class ItemKind(IntEnum):
-    """What an item is about; it goes over the wire."""
+    """What an item is about. The numbers are sent to peers."""
 
-    BAN = 0  # by a stock node's name: 1 out, 0 back in use
-    EJECTION = 1  # by a stock node, its start and a kind of request: who ejected it, until when
-    COUNT = 2  # by an account, a window and the stamp at which that is over: units spent, in tenths
+    BAN = 0  # by server name: 1 banned, 0 lifted
+    EJECTION = 1  # by server, its start and request class: which ingresses ejected it, and until when
+    COUNT = 2  # by account, window and the stamp of its end: units spent, in tenths
 
 
 Key: TypeAlias = tuple[int, str]
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True)
 class Change:
-    """An item that is other than it was."""
+    """An item that has changed, with its new value."""
 
     key: Key
     item: Item
 
 
 def tree_position(key: Key) -> tuple[int, int]:
-    """The branch and the leaf at which an item hangs."""
+    """The branch and the leaf of an item."""
     hashed = hashlib.blake2b(f"{key[0]}:{key[1]}".encode(), digest_size=2).digest()
     if key[0] == ItemKind.BAN:
         return hashed[0] % BAN_BRANCHES, hashed[1] % LEAVES
@@ -63,11 +63,15 @@
 
 
 def hash_parts(parts: list[bytes]) -> bytes:
+    """The hash of a list of entries or of hashes, `HASH_SIZE` bytes long."""
     return hashlib.blake2b(b"".join(parts), digest_size=HASH_SIZE).digest()
 
 
 class ReplicaStore:
-    """The copy. `life`: larger at each start of this ingress."""
+    """The replica of one ingress. `incarnation` must be larger at each start of the ingress.
+
+    Methods that change an item return the change, or None if the item stays as it is.
+    """
 
     def __init__(self, own_index: int, incarnation: int) -> None:
         self.own_index, self.incarnation, self.clock = own_index, incarnation, HybridClock()
@@ -75,21 +79,23 @@
         self.tree: list[list[dict[Key, bytes]]] = [[{} for _ in range(LEAVES)] for _ in range(BRANCHES)]
         self.leaf_hashes = [[hash_parts([])] * LEAVES for _ in range(BRANCHES)]
         self.branch_hashes = [hash_parts(leaves) for leaves in self.leaf_hashes]
-        self.refused = 0  # items that found no room, or that cannot be meant
+        self.refused = 0  # items that were invalid or found no room
 
-    # --- what this ingress learns --------------------------------------------------------------------------
+    # --- changes by this ingress ---------------------------------------------------------------------------
     def set_ban(self, name: str, banned: bool, now: datetime, at: datetime | None = None) -> Change | None:
+        """Bans a server, or lifts its ban. `at` is when staff did so, by default now."""
         stamp = (at - UNIX_EPOCH) // MICROSECOND if at is not None else self.clock.next_stamp(now)
         return self.merge((ItemKind.BAN, name), LwwRegister(stamp, int(banned)), now)
 
     def add_ejection(self, name: str, until: datetime, now: datetime) -> Change | None:
+        """This ingress has ejected a server. `name` is as in `ItemKind.EJECTION`."""
         tag = self.own_index, self.clock.next_stamp(now)
         return self.merge(
             (ItemKind.EJECTION, name), ObservedRemoveSet({tag: (until - UNIX_EPOCH) // MICROSECOND}), now
         )
 
     def clear_ejection(self, name: str, now: datetime) -> Change | None:
-        """What was said of it so far no longer holds, whoever said it."""
+        """Removes all ejections of the item that are known here, whoever made them."""
         item = self.items.get((ItemKind.EJECTION, name))
         if not isinstance(item, ObservedRemoveSet):
             return None
@@ -97,13 +103,14 @@
         return self.merge((ItemKind.EJECTION, name), item.remove(held), now) if held else None
 
     def add_usage(self, name: str, amount: int, now: datetime) -> Change | None:
+        """This ingress has spent more of a window, in tenths of units. `name` is as in `ItemKind.COUNT`."""
         key, source = (ItemKind.COUNT, name), (self.own_index, self.incarnation)
         item = self.items.get(key)
         own_amount = item.amounts.get(source, 0) if isinstance(item, GrowOnlyCounter) else 0
         return self.merge(key, GrowOnlyCounter({source: own_amount + amount}), now)
 
     def ejected_by(self, name: str, now: datetime) -> dict[int, int]:
-        """Which ingresses hold it ejected, and until which stamp."""
+        """The ingresses with an active ejection of the item, each with the stamp at which it ends."""
         item = self.items.get((ItemKind.EJECTION, name))
         held: dict[int, int] = {}
         if isinstance(item, ObservedRemoveSet):
@@ -113,13 +120,13 @@
 
     # --- merging -------------------------------------------------------------------------------------------
     def merge(self, key: Key, item: Item, now: datetime) -> Change | None:
-        """Takes what another copy says of an item, or this one; None where it says nothing new."""
+        """Merges an item of a peer or of this ingress into the replica."""
         known = self.items.get(key)
         if not isinstance(item, ITEM_TYPES[key[0]]) or not self._is_valid(key, item, now):
             self.refused += 1
             return None
         if known is None and self._is_expired(key, item, now):
-            return None  # guards against what is forgotten coming back from where the clock is behind
+            return None  # a peer whose clock is behind may still have it
         if known is None and not self._has_room(key, now):
             self.refused += 1
             return None
@@ -131,7 +138,7 @@
         return Change(key, merged)
 
     def _is_valid(self, key: Key, item: Item, now: datetime) -> bool:
-        """Guards all copies against a name that is none, and a stamp so far ahead that it outlasts all."""
+        """Whether the name is well-formed, and no stamp so far ahead that it would win for good."""
         if not NAME_PATTERNS[key[0]].fullmatch(key[1]):
             return False
         if isinstance(item, LwwRegister):
@@ -175,22 +182,25 @@
         return isinstance(item, GrowOnlyCounter) and int(key[1].rpartition("@")[2]) <= expired_before
 
     def expire(self, now: datetime) -> None:
-        """Forgets judgements that have aged out and counts of windows long over: every copy does."""
+        """Drops expired ejections and counts of windows that ended long ago, as all replicas do."""
         for key in [k for k, item in self.items.items() if self._is_expired(k, item, now)]:
             self._remove(key)
 
-    # --- what others are told ------------------------------------------------------------------------------
+    # --- contents for peers --------------------------------------------------------------------------------
     def leaf_items(self, branch: int, leaf: int) -> Iterator[tuple[Key, Item]]:
+        """The items of a leaf, in the order of their keys."""
         for key in sorted(self.tree[branch][leaf]):
             yield key, self.items[key]
 
     def branch_items(self, branch: int) -> Iterator[tuple[Key, Item]]:
+        """The items of a branch, leaf by leaf."""
         for leaf in range(LEAVES):
             yield from self.leaf_items(branch, leaf)
 
     def bans_equal(self, hashes: list[bytes]) -> bool:
+        """Whether a replica with these branch hashes has the same bans."""
         return hashes[:BAN_BRANCHES] == self.branch_hashes[:BAN_BRANCHES]
 
     def digest(self) -> str:
-        """Equal copies have equal ones."""
+        """The hash of the whole replica, in hex."""
         return hash_parts(self.branch_hashes).hex()
--- a/opalgauge/zones/messages.py
+++ b/opalgauge/zones/messages.py
@@ -23,7 +23,7 @@
 
 
 class ZoneState(IntEnum):
-    """State of a zone at an ingress. The numbers are sent to peers; the names are shown at the admin endpoint.
+    """State of a zone at an ingress. Peers get the numbers, the admin endpoint shows the names.
 
     IN: in full use. SLOW: in use with a reduced share. LEFT: only trials are sent there. RETURNING: the
     share grows back.
