--- a/opalgauge/replica/gossip.py
+++ b/opalgauge/replica/gossip.py
@@ -1,8 +1,8 @@
 """Gossip and anti-entropy between replicas. No I/O, no clock.
 
 A change is sent to all peers at once, or in large fleets to some that pass it on. Every round a replica sends
-its branch hashes to one peer. Where they differ, the two exchange the hashes of the leaves, and then the items
-of the leaves that differ. So a message that is lost, late, repeated or overtaken only costs time.
+its branch hashes to one peer. Where they differ, the two exchange the hashes of the leaves, and then the
+items of the leaves that differ. So a message that is lost, late, repeated or overtaken only costs time.
 
 A replica that starts empty asks its peers for everything, bans first, and sends no hashes until it has caught
 up.
--- a/tests/test_lease_scenes.py
+++ b/tests/test_lease_scenes.py
@@ -1,4 +1,4 @@
-"""Six ingresses, each a process, their quotas on one counter, and faults on every path between them."""
+"""Lease scenarios with six ingress processes, a shared counter, and faults on all paths between them."""
 
 from __future__ import annotations
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases of quotas: the pure holder by hand and by a model, its messages, and fleets in virtual time."""
+"""Quota leases: the lease holder, the detector of counter failures, messages, and fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class HolderRig:
-    """One holder, and a counter that answers by hand. The account comes over ingresses 0 and 1."""
+    """A lease holder and a counter that answers on command. Ingresses 0 and 1 serve the account."""
 
     def __init__(self, me: int = ME, now: datetime = T0, incarnation: int = 1, **changes: object) -> None:
         config = dataclasses.replace(LeaseConfig(me, 3, ((RATE, BURST),)), **changes)  # type: ignore[arg-type]
@@ -60,7 +60,7 @@
         self.run_actions(self.holder.take_actions())
 
     def answer(self, end: interface.End = interface.End.OK) -> None:
-        """The counter answers, or does not, all that it was called for."""
+        """Ends all calls of the counter in this way."""
         while self.calls:
             call = self.calls.pop(0)
             if end is interface.End.OK:
@@ -81,7 +81,7 @@
         return self.answers[-1].total
 
     def cut(self, end: interface.End = interface.End.TIMEOUT) -> None:
-        """The counter fails until this ingress takes it to be gone."""
+        """The counter fails its calls until the holder is in trouble."""
         while not self.holder.counter_health.in_trouble:
             self.request_count()
             self.step(60 * MS)
@@ -100,7 +100,7 @@
     asks, calls = rig.holder.counts_asked, rig.holder.counter_calls
     rig.use(4)
     assert rig.holder.counter_calls - calls < rig.holder.counts_asked - asks == 4
-    assert rig.last_total() == 7.0  # what is held ahead is not told as used
+    assert rig.last_total() == 7.0  # the lease does not count as used
     assert sum(rig.totals.values()) > 7.0
 
 
@@ -172,7 +172,7 @@
     rig.step(60 * MS)
     assert [t.duration < 60 * MS for t in rig.answers] == [True]
     assert rig.holder.detached_counts == 1
-    # The decisions would take a wait for pressure, ask for fewer requests and let the rest in by chance.
+    # The gateway would take the delay for pressure on the counter, and count only a sample of requests.
     assert rig.answers[0].duration == timedelta(0)
 
 
@@ -194,7 +194,7 @@
 
 
 def test_regained_quota_is_shared_while_the_counter_is_gone() -> None:
-    # Each of the account's ingresses let in all that came back: three of them were 37% beyond a quota.
+    # When each ingress admitted all units that the quota regained, three of them went 37% beyond it.
     rig = HolderRig(lease_ahead=False)
     rig.use(int(BURST), pause=20 * MS)
     assert rig.last_total() == BURST
@@ -206,11 +206,11 @@
     before = rig.last_total()
     for n in range(1, 4):
         rig.request_count()
-        assert rig.last_total() == before + n * SPREAD, "its own use stands for the others' as well"
+        assert rig.last_total() == before + n * SPREAD, "its own use stands for that of its peers as well"
 
 
 def test_late_total_over_the_quota_is_answered_in_full() -> None:
-    # Told as the quota and no more, others' use was forgotten, and the decisions let as much in again.
+    # When the answer was cut to the quota, the gateway lost the peers' use and admitted as much again.
     rig = HolderRig(lease_ahead=False)
     rig.use(int(BURST), pause=20 * MS)
     rig.cut()
@@ -278,7 +278,7 @@
     for n in range(5):
         rig.use(1)
         rig.holder.handle_message(Message(1, 1, 2 + n, True), rig.now)
-    assert rig.last_total() == pytest.approx(2 + 1 + 2 * 4, abs=1.1)  # each unit stands for two
+    assert rig.last_total() == pytest.approx(2 + 1 + 2 * 4, abs=1.1)  # each unit counts for two
     rig.holder.handle_message(Message(1, 1, 99, False), rig.now)
     rig.use(2)
     assert rig.last_total() == pytest.approx(9.0)
@@ -297,7 +297,7 @@
 
 
 def detached_pair() -> tuple[HolderRig, HolderRig]:
-    """Two ingresses of the account, both alone in a window that began after the cut."""
+    """Two ingresses of the account, detached in a window that began after the counter was lost."""
     rigs = HolderRig(0, incarnation=11), HolderRig(1, incarnation=12)
     for rig in rigs:
         rig.use(1)
@@ -324,7 +324,7 @@
         busy.sent.clear()
         if grants := [s for s in idle.sent if s.message.grants]:
             return grants
-    raise AssertionError("nothing was given")
+    raise AssertionError("no rights were granted")
 
 
 def test_rights_move_to_who_needs_them_and_repeated_grants_count_once() -> None:
@@ -406,14 +406,14 @@
 
 # --- the counter's health ----------------------------------------------------------------------------------
 class CounterCaller:
-    """Calls one counter by hand."""
+    """Records calls of one counter on command."""
 
     def __init__(self) -> None:
         self.now, self.token = T0, 0
         self.health = CounterHealth(T0, random.Random(1))
 
     def call(self, took: timedelta, answered: bool = True) -> bool:
-        """Whether it changed what is thought of the counter."""
+        """Makes a call. Returns whether it began or ended the trouble."""
         self.token += 1
         self.health.record_call(self.token, self.now)
         before = self.health.in_trouble
@@ -473,7 +473,7 @@
         caller.now += 20 * MS
     caller.call(3 * MS)
     assert caller.state() is CounterState.SLOW
-    assert caller.health.trial_due(caller.now + 9 * MS), "a quick answer is followed by another trial soon"
+    assert caller.health.trial_due(caller.now + 9 * MS), "a quick answer is soon followed by another trial"
 
 
 # --- fleets in virtual time --------------------------------------------------------------------------------
@@ -511,8 +511,8 @@
         assert deviation.wrongly_refused <= stated.wrongly_refused
 
 
-# While a slow counter was taken for one that had recovered at each late answer, each of these passed a bound:
-# when it was slow, how many milliseconds a call took it before, and seeds.
+# Each of these exceeded a bound while every late answer counted as the recovery of a slow counter: when it
+# was slow, its usual time per call in milliseconds, and seeds.
 SLOW_SCENES = (
     ((2.0, 8.0), 1.6, (23, 63, 82, 110, 124, 125, 149, 167)),
     ((2.0, 8.0), 3.0, (19, 37, 51)),
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Replicated state: merge rules searched and modelled, copies by hand, messages, fleets in virtual time."""
+"""Replicated state: merges, gossip as a state machine, bounds, messages, and fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 T0 = datetime(2026, 12, 1, tzinfo=UTC)
 SECOND = timedelta(seconds=1)
 
-# --- merge rules -------------------------------------------------------------------------------------------
+# --- merging -----------------------------------------------------------------------------------------------
 Op = Callable[[ReplicaStore, datetime], object]
 OPS: dict[str, Op] = {
     "out": lambda s, now: s.set_ban("s-1", True, now),
@@ -46,7 +46,7 @@
 
 
 def test_every_order_of_few_changes_and_deliveries_converges() -> None:
-    """All schedules of three changes at three copies, with a delivery between any two of them in between."""
+    """All schedules of three changes at three replicas, with one delivery or none between two changes."""
     pairs = list(itertools.permutations(range(3), 2))
     count = 0
     for ops in itertools.product(("out", "back", "judge", "acquit"), repeat=3):
@@ -78,7 +78,7 @@
     return ObservedRemoveSet(added, frozenset(removed))
 
 
-@pytest.mark.parametrize("kind", [registers, counters, tag_sets()], ids=["register", "parts", "tags"])
+@pytest.mark.parametrize("kind", [registers, counters, tag_sets()], ids=["register", "counter", "set"])
 def test_merge_is_commutative_associative_and_idempotent(kind: st.SearchStrategy[Item]) -> None:
     @hyp(max_examples=150, deadline=None, derandomize=True)
     @given(kind, kind, kind)
@@ -101,7 +101,7 @@
     assert (
         one.items[ItemKind.BAN, "s-1"] == other.items[ItemKind.BAN, "s-1"] == LwwRegister(one.clock.last, 1)
     )
-    # Its clock is an hour behind; what it has seen is still earlier than what it says.
+    # Its clock is 59 minutes behind, but its stamps are later than those that it has seen.
     other.set_ban("s-1", False, T0 - timedelta(minutes=59))
     merge_into(one, other, T0)
     item = one.items[ItemKind.BAN, "s-1"]
@@ -112,11 +112,11 @@
     one, other = ReplicaStore(0, 1), ReplicaStore(1, 1)
     one.add_ejection("1:0:0", T0 + 9 * SECOND, T0)
     merge_into(other, one, T0)
-    one.add_ejection("1:0:0", T0 + 9 * SECOND, T0 + SECOND)  # not heard by the other
+    one.add_ejection("1:0:0", T0 + 9 * SECOND, T0 + SECOND)  # unknown to the other
     other.clear_ejection("1:0:0", T0 + SECOND)
     merge_into(one, other, T0)
     assert list(one.ejected_by("1:0:0", T0 + 2 * SECOND)) == [0]
-    assert one.ejected_by("1:0:0", T0 + 10 * SECOND) == {}  # and it ages out by itself
+    assert one.ejected_by("1:0:0", T0 + 10 * SECOND) == {}  # and it expires by itself
 
 
 def test_new_incarnation_counts_beside_the_old_one() -> None:
@@ -132,7 +132,7 @@
 
 
 class ReplicaMachine(RuleBasedStateMachine):
-    """Three copies, messages that are lost, repeated and overtaken: whoever hears all of all is equal."""
+    """Three replicas and messages that are lost, repeated and overtaken. In the end they must be equal."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -243,7 +243,7 @@
 
 # --- catching up -------------------------------------------------------------------------------------------
 def old_and_new(known: int) -> tuple[Gossip, Gossip]:
-    """One that knows so many bans, and one that has just started."""
+    """A replica with this many bans, and one that has just started."""
     old = Gossip(ReplicaStore(0, 1), 3, T0, 1)
     old.caught_up = True
     for n in range(known):
@@ -278,7 +278,7 @@
     other = Gossip(ReplicaStore(0, 1), 3, T0, 3)
     exchange(T0, {0: other, 1: new})
     exchange(T0 + CATCH_UP_TIMEOUT / 2, {0: other, 1: new})
-    assert not new.caught_up  # both are equal, and know nothing
+    assert not new.caught_up  # both are equal and empty
     new.tick(T0 + CATCH_UP_TIMEOUT)
     assert new.caught_up
 
@@ -330,15 +330,15 @@
     assert messages.decode_message(messages.encode_message(message)) is None
 
 
-# --- what the decisions hear -------------------------------------------------------------------------------
+# --- ejections at the gateway ------------------------------------------------------------------------------
 def test_adopted_ejection_applies_to_one_start_of_the_server_and_ends() -> None:
     rig = GatewayRig(settings(), servers=3)
     gateway = rig.gateway
-    adopt_ejection(gateway, 1, 0.0, 0, 100.0, 5.0)  # no longer than the decisions eject themselves
+    adopt_ejection(gateway, 1, 0.0, 0, 100.0, 5.0)  # ends as soon as one of the gateway's own would
     assert active_ejections(gateway, 5.0) == [(1, 0.0, 0, 13.0)] and active_ejections(gateway, 13.0) == []
-    adopt_ejection(gateway, 2, 77.0, 0, 100.0, 5.0)  # of another start
-    adopt_ejection(gateway, 3, 0.0, 9, 100.0, 5.0)  # of no such kind
-    adopt_ejection(gateway, 9, 0.0, 0, 100.0, 5.0)  # of no listed node
+    adopt_ejection(gateway, 2, 77.0, 0, 100.0, 5.0)  # another start of the server
+    adopt_ejection(gateway, 3, 0.0, 9, 100.0, 5.0)  # no such class
+    adopt_ejection(gateway, 9, 0.0, 0, 100.0, 5.0)  # no listed server
     assert len(active_ejections(gateway, 5.0)) == 1
     rig.now = 6.0
     for _ in range(12):
@@ -391,7 +391,7 @@
 
 def test_peer_whose_hashes_differed_is_the_next_to_get_ours() -> None:
     replicas = {n: Gossip(ReplicaStore(n, 1), 5, T0, n) for n in range(5)}
-    for other in (1, 2, 3, 4, 1, 2, 3, 4):  # whoever would be drawn
+    for other in (1, 2, 3, 4, 1, 2, 3, 4):  # whichever peer would be drawn
         mine, theirs = Gossip(ReplicaStore(0, 1), 5, T0, other), replicas[other]
         mine.caught_up = True
         mine.store.set_ban("s-1", True, T0)
@@ -400,5 +400,5 @@
         said = mine.take_outputs()[0]
         assert {sent.peer for sent in said} == {other}
         assert [sent for sent in said if sent.message.branch_hashes]
-        # And with the hashes of its leaves what hangs there, as it is little: one message's loss fewer.
+        # The items come with the leaf hashes, as they are few: one message fewer that may get lost.
         assert any((ItemKind.BAN, "s-1") in dict(sent.message.items) for sent in said)
--- a/tests/test_replica_scenes.py
+++ b/tests/test_replica_scenes.py
@@ -1,4 +1,4 @@
-"""Five ingresses, each a process, whose bans and judgements are the same everywhere."""
+"""Replication scenarios with five ingress processes, whose bans and ejections become the same everywhere."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def final_commands(*rows: tuple[int, str]) -> tuple[tuple[float, int, str], ...]:
-    """What staff are told at the end: nothing changes by it if the copies are as they should be."""
+    """Admin commands at the end, each answered with "already" if its ingress has the expected bans."""
     return tuple((END - 0.5, ingress, command) for ingress, command in rows)
 
 
@@ -51,12 +51,13 @@
     "faults, skews",
     [("0s peers.* repeat 20%", ()), ("0s peers.* drop 50%\n0s peers.* delay 2ms 300ms", ()),
      ("", (0.0, 4.0, -4.0, 2.0, -3.0))],
-    ids=["as in service, some twice", "half of the words lost, late and overtaken", "clocks seconds apart"],
+    ids=["as in service, some twice", "half of the messages lost, late and overtaken",
+         "clocks seconds apart"],
 )  # fmt: skip
 def test_ban_at_one_ingress_holds_at_all_and_after_an_empty_restart(
     faults: str, skews: tuple[float, ...]
 ) -> None:
-    lift = ((6.5, 3, "maint-off s-10"),)  # by another one, whose clock may be behind
+    lift = ((6.5, 3, "maint-off s-10"),)  # at another ingress, whose clock may be behind
     final = final_commands_everywhere("maint-on s-00") + final_commands_everywhere("maint-off s-10")
     scenario = replace(
         BASE,
@@ -97,7 +98,7 @@
         replace(BASE, admin_commands=BANS, garbage_datagrams=((2.0, 0, 40), (2.5, 3, 600)), seconds=6.0)
     )
     dropped = [int(ingress_stats["peers.words_dropped"]) for ingress_stats in result.stats_samples[-1][1]]
-    # Of the flood the system itself drops what a busy ingress does not fetch in time.
+    # The kernel drops part of the flood itself, what a busy ingress does not read in time.
     assert dropped[0] >= 40 and dropped[3] >= 100 and dropped[1] == 0
 
 
--- a/tests/test_zone_scenes.py
+++ b/tests/test_zone_scenes.py
@@ -1,4 +1,4 @@
-"""Five ingresses, each a process, nodes in three zones, and the fault proxy between all of them."""
+"""Zone scenarios with five ingress processes, servers in three zones, and the fault proxy between them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def log_counts(result: Result, text: str) -> list[int]:
-    """How often each ingress's log says so."""
+    """How many log lines of each ingress contain the text."""
     return [sum(text in line for line in log) for log in result.logs]
 
 
@@ -41,14 +41,14 @@
         "", "0s peers.* drop 50%", "0s peers.* drop 100%", "0s peers.0.* cut\n0s peers.*.0 cut",
         f"{CUT}s hall-a.* silence",
     ],
-    ids=["refused", "half of the words lost", "all words lost", "one ingress cut off", "silent"],
+    ids=["refused", "half of the messages lost", "all messages lost", "one ingress cut off", "silent"],
 )  # fmt: skip
 def test_failed_zone_is_left_by_all_within_two_seconds_and_returned_to_in_steps(more: str) -> None:
     result = run_scene(replace(BASE, schedule=f"{BASE.schedule}\n{more}"), BACK - 0.1, END - 0.2)
     assert zone_states(result, "hall-a") == ["left"] * 5
     assert max(leave_times(result)) < 2.0
     assert result.max_overload["hall-a"] < 4.0
-    # Who hears nobody has to make its two trials alone, and waits longer for its turns.
+    # An ingress without peers has to make both trials itself, and waits longer for its turns.
     alone = "100%" in more or "peers.0.*" in more
     assert zone_states(result, "hall-a", 1).count("left") <= (5 if alone else 0)
     assert result.refused < 0.1 * result.requests
@@ -78,7 +78,7 @@
     flaps = "".join(f"{n}s hall-a.* {'cut' if n % 4 == 2 else 'heal'}\n" for n in range(2, 16, 2))
     result = run_scene(replace(BASE, schedule=PEERS + flaps, zone_restart=None, seconds=15.0, rate=50.0))
     left = log_counts(result, "zone hall-a: left")
-    assert 1 <= max(left) <= 4  # it goes four times; how soon each knows depends on the machine
+    assert 1 <= max(left) <= 4  # it fails four times; how soon each ingress notices depends on the machine
     assert result.failed < 0.03 * result.requests and result.refused < 0.01 * result.requests
 
 
@@ -95,7 +95,7 @@
     for look in range(3):
         zones = [zone_states(result, f"hall-{z}", look) for z in "abc"]
         assert all(any(z[k] != "left" for z in zones) for k in range(5))
-    # Only in the first moments, before anybody can know, are four attempts of one request spent in vain.
+    # Only at first, before any ingress can know, do all four attempts of a request fail.
     assert [when for when, end in result.outcomes if end == "refused" and when > CUT + 1.0] == []
     assert result.served > 0.95 * result.requests
 
@@ -106,7 +106,7 @@
     assert "left" not in zone_states(result, "hall-a")
 
 
-# --- the schedule itself -----------------------------------------------------------------------------------
+# --- the fault schedule ------------------------------------------------------------------------------------
 def test_schedule_gives_the_faults_of_a_path_at_a_time() -> None:
     schedule = Schedule(
         "0s peers.* drop 7.2%  # as seen in service\n0s peers.* delay 2ms 17ms\n3s peers.1.* drop 50%\n"
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones: the pure judge with its messages, the gateways' part, and fleets of 50 in virtual time."""
+"""Zone failover: the zone watch and its messages, the gateway's part, and fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class WatchRig:
-    """One watch, with attempts and peers' messages by hand."""
+    """A zone watch with attempts and messages of peers on command."""
 
     def __init__(self, config: ZoneConfig = CONFIG, zone_size: int = 3) -> None:
         self.now, self.number = T0, 0
@@ -64,7 +64,7 @@
     def run_attempts(
         self, span: timedelta, failing: tuple[int, ...] = (), skip: tuple[int, ...] = ()
     ) -> None:
-        """Attempts at all nodes but `skip`; those at `failing` end badly."""
+        """Attempts at all servers but `skip`. Those at `failing` fail."""
         until = self.now + span
         while self.now < until:
             for server in range(1, 3 * self.zone_size + 1):
@@ -123,15 +123,15 @@
     rig.run_attempts(1000 * MS)
     rig.attempt(1, interface.End.CONNECT_FAILED)
     rig.step()
-    assert len(trials(rig)) == 1 and trials(rig)[0] in (2, 3)  # not at the one that failed
+    assert len(trials(rig)) == 1 and trials(rig)[0] in (2, 3)  # not the one that failed
     for _ in range(20):
-        rig.run_attempts(100 * MS, skip=(1, 2, 3))  # the decisions send nothing there
+        rig.run_attempts(100 * MS, skip=(1, 2, 3))  # the gateway sends nothing there
         for server in trials(rig):
             finish_trial(rig, server, interface.End.CONNECT_FAILED)
         rig.actions.clear()
     assert rig.state() is ZoneState.LEFT
     assert rig.watch.zones[0].last_attempt_at is not None
-    assert rig.watch.zones[0].last_attempt_at < T0 + 1000 * MS  # a trial costs no request, and counts as none
+    assert rig.watch.zones[0].last_attempt_at < T0 + 1000 * MS  # trials do not count as attempts
 
 
 def test_trials_of_a_doubtful_zone_are_few_and_none_where_peers_are_heard() -> None:
@@ -146,12 +146,8 @@
         sent = trials(rig)
         rig.actions.clear()
         rig.doubt_trials += [server for server in sent if server <= 3]
-    assert (
-        rig.state() is ZoneState.IN and 2 <= len(rig.doubt_trials) <= 7
-    )  # for as long as a failure is remembered
-    assert (
-        len(rig.watch.health.zones[0].latency_ratios) <= samples
-    )  # how soon a trial is answered is nobody's pace
+    assert rig.state() is ZoneState.IN and 2 <= len(rig.doubt_trials) <= 7  # while the failure is remembered
+    assert len(rig.watch.health.zones[0].latency_ratios) <= samples  # latencies of trials do not count
     rig.receive_report(1, UNSURE, HEALTHY, HEALTHY)
     rig.attempt(1, interface.End.CONNECT_FAILED)
     rig.step(1000 * MS)
@@ -171,7 +167,7 @@
 
 @pytest.mark.parametrize("drop", [0.5, 1.0])
 def test_five_ingresses_with_lost_messages_always_leave_a_failed_zone(drop: float) -> None:
-    for seed in (1, 2, 3, 4, 24, 67, 69, 89):  # the last four: too few failures to tell, without trials
+    for seed in (1, 2, 3, 4, 24, 67, 69, 89):  # in the last four, only trials bring enough failures
         scenario = Scenario(
             ingresses=5,
             servers_per_zone=3,
@@ -204,7 +200,7 @@
     for _ in range(20):
         rig.run_attempts(200 * MS, failing=tuple(range(1, 10)))
         assert any(rig.state(n) is not ZoneState.LEFT for n in range(3))
-    # Two are left one after the other; as the last fails too, all are back in use.
+    # Two zones are left one after the other. When the last one fails too, all are used again.
     rig = WatchRig()
     rig.run_attempts(1000 * MS)
     rig.run_attempts(1000 * MS, failing=(1, 2, 3))
@@ -252,7 +248,7 @@
     assert holds[0] < holds[1] < holds[2]
 
 
-@pytest.mark.parametrize("good", [0, 2], ids=["their return", "their trials"])
+@pytest.mark.parametrize("good", [0, 2], ids=["return of peers", "trials of peers"])
 def test_zone_left_again_is_not_returned_to_for_older_reports(good: int) -> None:
     rig = leave_first_zone(WatchRig())
     for n in range(1, 5):
@@ -261,7 +257,7 @@
         )
     rig.step()
     assert rig.state() is ZoneState.LEFT
-    for n in range(1, 5):  # what begins after is followed
+    for n in range(1, 5):  # a return that begins later is followed
         rig.receive_report(n, UNSURE, HEALTHY, HEALTHY, state=ZoneState.RETURNING)
     rig.step(400 * MS)
     for n in range(1, 5):
@@ -329,7 +325,7 @@
 def test_torn_or_foreign_datagram_is_rejected(data: bytes, at: int) -> None:
     assert messages.decode_message(data, b"secret") is None
     good = messages.encode_message(Message(1, 2, 3, (ZoneReport(HEALTHY, ZoneState.IN, 0 * MS),)), b"secret")
-    assert messages.decode_message(good) is None  # sealed otherwise
+    assert messages.decode_message(good) is None  # signed with another secret
     assert messages.decode_message(good[:at], b"secret") is None or at >= len(good)
     assert messages.decode_message(b"\x5a\x02" + good[2:], b"secret") is None
 
@@ -344,7 +340,7 @@
     assert rig.watch.fleet.accept(replace(new, incarnation=6, sequence=1), T0)
 
 
-# --- the gateways' part ------------------------------------------------------------------------------------
+# --- the gateway's part -------------------------------------------------------------------------------------
 CLASSES = (
     interface.RequestClass(aim=0.8, deadline=2.0),
     interface.RequestClass(aim=0.8, deadline=2.0, idempotency=interface.Idempotency.UNSAFE),
@@ -419,7 +415,8 @@
         {}, {"drop": 0.5}, {"drop": 1.0}, {"stated_ingresses": 25}, {"stated_ingresses": 100},
         {"restarts": tuple((9.5 + n / 10, n) for n in range(20))},
     ],
-    ids=["7.2% lost", "half lost", "all lost", "told half", "told double", "restarts in the ramp"],
+    ids=["7.2% lost", "half lost", "all lost", "half configured", "double configured",
+         "restarts in the ramp"],
 )  # fmt: skip
 def test_fifty_ingresses_return_without_overloading_cold_servers(changes: dict[str, object]) -> None:
     result = ZoneSimulation(Scenario(seconds=16.0, **changes)).run()  # type: ignore[arg-type]
