--- a/tests/test_lease_scenes.py
+++ b/tests/test_lease_scenes.py
@@ -16,25 +16,29 @@
     ingresses=6, zone_leave="off", leases="on", mean_work=0.005, plans=PLANS, seconds=END,
     schedule=f"{PEER_FAULTS}{CUT}s counter.* cut\n{BACK}s counter.* heal",
 )  # fmt: skip
-APART = "".join(f"{CUT}s peers.{a}.{b} cut\n{CUT}s peers.{b}.{a} cut\n" for a in HALVES[0] for b in HALVES[1])
-SOME = PEER_FAULTS + "".join(f"{CUT}s counter.{n} silence\n{BACK}s counter.{n} heal\n" for n in HALVES[0])
-SCENES = {
+HALVES_APART = "".join(
+    f"{CUT}s peers.{a}.{b} cut\n{CUT}s peers.{b}.{a} cut\n" for a in HALVES[0] for b in HALVES[1]
+)
+SILENT_FOR_SOME = PEER_FAULTS + "".join(
+    f"{CUT}s counter.{n} silence\n{BACK}s counter.{n} heal\n" for n in HALVES[0]
+)
+SCENARIOS = {
     "counter gone": BASE,
     "counter slower": replace(
         BASE, schedule=PEER_FAULTS, counter_work=0.0016, counter_slowdown=(CUT, BACK, 7.7)
     ),
-    "gone for some": replace(BASE, schedule=SOME),
-    "two halves": replace(BASE, schedule=BASE.schedule + "\n" + APART),
-    "two halves, one with the counter": replace(BASE, schedule=SOME + APART),
+    "gone for some": replace(BASE, schedule=SILENT_FOR_SOME),
+    "two halves": replace(BASE, schedule=BASE.schedule + "\n" + HALVES_APART),
+    "two halves, one with the counter": replace(BASE, schedule=SILENT_FOR_SOME + HALVES_APART),
     "restarted while it holds leases": replace(BASE, ingress_restarts=((CUT + 2.0, 0),)),
     "accounts that move": replace(BASE, shift_interval=1.5),
     "with all parts on": replace(BASE, zone_leave="on", replicate=True, ingress_restarts=((CUT + 2.0, 0),)),
 }
 
 
-@pytest.mark.parametrize("name", SCENES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_no_plan_exceeds_its_bound_and_no_request_is_lost(name: str) -> None:
-    scenario = SCENES[name]
+    scenario = SCENARIOS[name]
     result = asyncio.run(run_scenario(scenario, (CUT + 3.5,)))
     assert result.lost == 0 and result.duplicates == 0
     figures = quota_figures(result, scenario, (CUT, BACK))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -97,9 +97,9 @@
 def test_busy_account_leases_ahead_and_needs_fewer_calls() -> None:
     rig = HolderRig()
     rig.use(3)
-    asks, calls = rig.holder.counts_asked, rig.holder.counter_calls
+    counts, calls = rig.holder.counts_asked, rig.holder.counter_calls
     rig.use(4)
-    assert rig.holder.counter_calls - calls < rig.holder.counts_asked - asks == 4
+    assert rig.holder.counter_calls - calls < rig.holder.counts_asked - counts == 4
     assert rig.last_total() == 7.0  # the lease does not count as used
     assert sum(rig.totals.values()) > 7.0
 
@@ -236,15 +236,15 @@
 
 
 def test_unknown_account_is_assumed_to_have_used_the_replicated_usage() -> None:
-    told = []
+    totals = []
     for heard in (None, 16.0):
         rig = HolderRig()
         rig.holder.replicated_usage = lambda account, window, over, heard=heard: heard  # type: ignore[misc]
         rig.holder.counter_health.has_answered = True
         rig.holder.counter_health.trouble_since = rig.now + timedelta(seconds=1)
         rig.request_count()
-        told.append(rig.last_total())
-    assert told == [BURST / 2 + 1, 16.0 + 1]
+        totals.append(rig.last_total())
+    assert totals == [BURST / 2 + 1, 16.0 + 1]
 
 
 def test_only_usage_near_the_quota_is_replicated() -> None:
@@ -330,11 +330,11 @@
 def test_rights_move_to_who_needs_them_and_repeated_grants_count_once() -> None:
     busy, idle = detached_pair()
     grants = exchange_until_granted(busy, idle)
-    before, gave = rights(busy), idle.holder.units_granted
+    before, granted = rights(busy), idle.holder.units_granted
     for _ in range(3):
         busy.holder.handle_message(grants[0].message, busy.now)
-    assert rights(busy) == pytest.approx(before + gave)
-    assert rights(idle) == pytest.approx(BURST / 2 - gave)
+    assert rights(busy) == pytest.approx(before + granted)
+    assert rights(idle) == pytest.approx(BURST / 2 - granted)
 
 
 def test_grant_for_another_incarnation_window_or_account_is_ignored() -> None:
@@ -389,9 +389,9 @@
 
 @given(st.binary(max_size=300), st.integers(0, 60))
 def test_torn_or_foreign_datagram_is_rejected(data: bytes, at: int) -> None:
-    whole = messages.encode_message(Message(1, 1, 1, True, (NEED,), (GRANT,)), b"s")
-    torn = whole[:at] + data + whole[at + len(data) :]
-    assert torn == whole or messages.decode_message(torn, b"s") is None
+    datagram = messages.encode_message(Message(1, 1, 1, True, (NEED,), (GRANT,)), b"s")
+    torn = datagram[:at] + data + datagram[at + len(data) :]
+    assert torn == datagram or messages.decode_message(torn, b"s") is None
     assert messages.decode_message(data, b"s") is None
 
 
@@ -479,7 +479,7 @@
 # --- fleets in virtual time --------------------------------------------------------------------------------
 CUT = (6.0, 18.0)
 HALVES = (0, 0, 0, 1, 1, 1)
-SCENES: dict[str, dict[str, object]] = {
+SCENARIOS: dict[str, dict[str, object]] = {
     "counter gone": {},
     "half of the messages lost": {"drop": 0.5},
     "no messages": {"drop": 1.0},
@@ -493,9 +493,9 @@
 }
 
 
-@pytest.mark.parametrize("name", SCENES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_each_plan_stays_within_its_bound_whatever_is_cut(name: str) -> None:
-    scenario = Scenario(seconds=22.0, outage=CUT, **SCENES[name])  # type: ignore[arg-type]
+    scenario = Scenario(seconds=22.0, outage=CUT, **SCENARIOS[name])  # type: ignore[arg-type]
     result = LeaseSimulation(scenario).run()
     assert (
         result.unanswered == 0
@@ -513,7 +513,7 @@
 
 # Each of these exceeded a bound while every late answer counted as the recovery of a slow counter: when it
 # was slow, its usual time per call in milliseconds, and seeds.
-SLOW_SCENES = (
+SLOW_SCENARIOS = (
     ((2.0, 8.0), 1.6, (23, 63, 82, 110, 124, 125, 149, 167)),
     ((2.0, 8.0), 3.0, (19, 37, 51)),
     (CUT, 1.6, (13, 14, 40, 55)),
@@ -521,8 +521,8 @@
 
 
 def test_each_plan_stays_within_its_bound_with_a_slow_counter() -> None:
-    passed = []
-    for span, milliseconds, seeds in SLOW_SCENES:
+    exceeded = []
+    for span, milliseconds, seeds in SLOW_SCENARIOS:
         for seed in seeds:
             scenario = Scenario(
                 seconds=span[1] + 2, outage=span, slowdown=7.7, seed=seed, counter_ms=milliseconds
@@ -537,8 +537,8 @@
                     deviation.overshoot > stated.overshoot
                     or deviation.wrongly_refused > stated.wrongly_refused
                 ):
-                    passed.append((seed, milliseconds, plan.name, deviation, stated))
-    assert not passed
+                    exceeded.append((seed, milliseconds, plan.name, deviation, stated))
+    assert not exceeded
 
 
 def test_without_leases_the_bounds_are_exceeded() -> None:
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -32,10 +32,10 @@
 # --- merging -----------------------------------------------------------------------------------------------
 Op = Callable[[ReplicaStore, datetime], object]
 OPS: dict[str, Op] = {
-    "out": lambda s, now: s.set_ban("s-1", True, now),
-    "back": lambda s, now: s.set_ban("s-1", False, now),
-    "judge": lambda s, now: s.add_ejection("1:0:0", now + 60 * SECOND, now),
-    "acquit": lambda s, now: s.clear_ejection("1:0:0", now),
+    "ban": lambda s, now: s.set_ban("s-1", True, now),
+    "lift": lambda s, now: s.set_ban("s-1", False, now),
+    "eject": lambda s, now: s.add_ejection("1:0:0", now + 60 * SECOND, now),
+    "clear": lambda s, now: s.clear_ejection("1:0:0", now),
     "count": lambda s, now: s.add_usage("7:1@2000000000000000", 5, now),
 }
 
@@ -49,7 +49,7 @@
     """All schedules of three changes at three replicas, with one delivery or none between two changes."""
     pairs = list(itertools.permutations(range(3), 2))
     count = 0
-    for ops in itertools.product(("out", "back", "judge", "acquit"), repeat=3):
+    for ops in itertools.product(("ban", "lift", "eject", "clear"), repeat=3):
         for at in itertools.product(range(3), repeat=2):
             for first, second in itertools.product([None, *pairs], repeat=2):
                 stores = [ReplicaStore(n, 1) for n in range(3)]
@@ -212,9 +212,9 @@
     store, other = ReplicaStore(0, 1), ReplicaStore(1, 1)
     store.add_ejection("1:0:0", T0 + SECOND, T0)
     merge_into(other, store, T0)
-    late = T0 + SECOND + EXPIRY_GRACE + SECOND
-    store.expire(late)
-    merge_into(store, other, late)
+    expired_at = T0 + SECOND + EXPIRY_GRACE + SECOND
+    store.expire(expired_at)
+    merge_into(store, other, expired_at)
     assert not store.items and store.digest() == ReplicaStore(2, 1).digest()
 
 
@@ -231,14 +231,14 @@
 def test_flood_of_changes_stays_within_the_send_budget() -> None:
     replica = Gossip(ReplicaStore(0, 1), 5, T0, 1)
     replica.caught_up = True
-    now, said = T0, 0
+    now, messages_sent = T0, 0
     for n in range(900):
         replica.announce(replica.store.set_ban(f"stock-node-{n:04}", True, now))
         if n % 45 == 44:
             now += timedelta(milliseconds=50)
             replica.tick(now)
-            said += len(replica.take_outputs()[0])
-    assert said <= SEND_BURST + SEND_RATE * 1.0 + 1
+            messages_sent += len(replica.take_outputs()[0])
+    assert messages_sent <= SEND_BURST + SEND_RATE * 1.0 + 1
 
 
 # --- catching up -------------------------------------------------------------------------------------------
@@ -349,7 +349,7 @@
 
 
 # --- fleets in virtual time --------------------------------------------------------------------------------
-SCENES: dict[str, dict[str, object]] = {
+SCENARIOS: dict[str, dict[str, object]] = {
     "as in service": {},
     "half of the messages lost": {"drop": 0.5},
     "late and out of order": {"delay": (0.002, 0.6), "duplicate": 0.5},
@@ -366,10 +366,10 @@
 }
 
 
-@pytest.mark.parametrize("name", SCENES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_replicas_converge_within_five_seconds_whatever_was_lost(name: str) -> None:
     for seed in (1, 2):
-        scenario = Scenario(seed=seed, **SCENES[name])  # type: ignore[arg-type]
+        scenario = Scenario(seed=seed, **SCENARIOS[name])  # type: ignore[arg-type]
         result = ReplicaSimulation(scenario).run()
         assert result.converged_after is not None and result.converged_after < 5.0
         assert result.max_sent_per_second <= 100 and result.max_message_size <= MAX_DATAGRAM_SIZE
@@ -378,27 +378,27 @@
 
 
 def test_replicas_converge_soon_with_half_of_the_messages_lost_and_others_late() -> None:
-    late = []
+    convergence_times = []
     for seed in range(40):
         scenario = Scenario(
             seconds=16.0, changes_until=6.0, changes_per_second=0.5, drop=0.5, delay=(0.002, 0.3), seed=seed
         )
         result = ReplicaSimulation(scenario).run()
         assert result.converged_after is not None, seed
-        late.append(result.converged_after)
-    assert sorted(late)[20] < 2.0 and max(late) < 7.0
+        convergence_times.append(result.converged_after)
+    assert sorted(convergence_times)[20] < 2.0 and max(convergence_times) < 7.0
 
 
 def test_peer_whose_hashes_differed_is_the_next_to_get_ours() -> None:
     replicas = {n: Gossip(ReplicaStore(n, 1), 5, T0, n) for n in range(5)}
     for other in (1, 2, 3, 4, 1, 2, 3, 4):  # whichever peer would be drawn
-        mine, theirs = Gossip(ReplicaStore(0, 1), 5, T0, other), replicas[other]
-        mine.caught_up = True
-        mine.store.set_ban("s-1", True, T0)
-        mine.handle_message(Message(other, 1, 1, branch_hashes=tuple(theirs.store.branch_hashes)), T0)
-        mine.tick(T0 + timedelta(milliseconds=100))
-        said = mine.take_outputs()[0]
-        assert {sent.peer for sent in said} == {other}
-        assert [sent for sent in said if sent.message.branch_hashes]
+        own, peer = Gossip(ReplicaStore(0, 1), 5, T0, other), replicas[other]
+        own.caught_up = True
+        own.store.set_ban("s-1", True, T0)
+        own.handle_message(Message(other, 1, 1, branch_hashes=tuple(peer.store.branch_hashes)), T0)
+        own.tick(T0 + timedelta(milliseconds=100))
+        messages_sent = own.take_outputs()[0]
+        assert {sent.peer for sent in messages_sent} == {other}
+        assert [sent for sent in messages_sent if sent.message.branch_hashes]
         # The items come with the leaf hashes, as they are few: one message fewer that may get lost.
-        assert any((ItemKind.BAN, "s-1") in dict(sent.message.items) for sent in said)
+        assert any((ItemKind.BAN, "s-1") in dict(sent.message.items) for sent in messages_sent)
--- a/tests/test_replica_scenes.py
+++ b/tests/test_replica_scenes.py
@@ -24,7 +24,7 @@
 BANS = ((0.5, 0, "maint-on s-00"), (0.8, 1, "maint-on s-10"), (1.1, 2, "maint-on s-20"))
 
 
-def run_scene(scenario: Scenario) -> Result:
+def run_checked(scenario: Scenario) -> Result:
     result = asyncio.run(run_scenario(scenario))
     assert result.lost == 0 and result.duplicates == 0
     figures = replica_figures(result, scenario)
@@ -66,14 +66,14 @@
         admin_commands=BANS + lift + final,
         ingress_restarts=((5.0, 1),),
     )
-    result = run_scene(scenario)
+    result = run_checked(scenario)
     assert [a for a in result.admin_answers[-10:] if not a.endswith("already")] == []
     ((_, _, figures),) = result.stats_at_ready
     assert figures["replica.caught_up"] == "1" and figures["replica.bans"] == "3"
 
 
 def test_partitioned_ingress_and_the_others_end_with_the_same_bans() -> None:
-    away = "2s peers.4.* cut\n2s peers.*.4 cut\n6s peers.4.* heal\n6s peers.*.4 heal"
+    partition = "2s peers.4.* cut\n2s peers.*.4 cut\n6s peers.4.* heal\n6s peers.*.4 heal"
     commands = (
         (2.5, 4, "maint-off s-00"), (2.8, 0, "maint-on s-01"), (3.0, 4, "maint-on s-11"),
         (3.2, 4, "maint-off s-20"), (3.6, 2, "maint-off s-20"), (4.0, 2, "maint-on s-20"),
@@ -87,14 +87,14 @@
         )
         for ingress in (0, 2, 4)
     ]
-    result = run_scene(
-        replace(BASE, schedule=f"{PEER_FAULTS}\n{away}", admin_commands=BANS + commands + sum(final, ()))
+    result = run_checked(
+        replace(BASE, schedule=f"{PEER_FAULTS}\n{partition}", admin_commands=BANS + commands + sum(final, ()))
     )
     assert [a for a in result.admin_answers[-12:] if not a.endswith("already")] == []
 
 
 def test_garbage_and_a_flood_are_dropped_and_counted() -> None:
-    result = run_scene(
+    result = run_checked(
         replace(BASE, admin_commands=BANS, garbage_datagrams=((2.0, 0, 40), (2.5, 3, 600)), seconds=6.0)
     )
     dropped = [int(ingress_stats["peers.words_dropped"]) for ingress_stats in result.stats_samples[-1][1]]
@@ -104,10 +104,10 @@
 
 def test_failing_server_is_known_at_ingresses_that_hardly_used_it() -> None:
     cut = "1s hall-a.s-00 cut\n4s hall-a.s-00 heal"
-    result = run_scene(replace(BASE, schedule=f"{PEER_FAULTS}\n{cut}", rate=20.0, seconds=6.0))
-    judged = [
+    result = run_checked(replace(BASE, schedule=f"{PEER_FAULTS}\n{cut}", rate=20.0, seconds=6.0))
+    ejection_counts = [
         max(int(d.get("replica.judgements", 0)) for d in stats_by_ingress)
         for _, stats_by_ingress in result.stats_samples
     ]
-    assert max(judged) >= 1
+    assert max(ejection_counts) >= 1
     assert result.failed + result.refused <= 0.05 * result.requests
--- a/tests/test_zone_scenes.py
+++ b/tests/test_zone_scenes.py
@@ -19,15 +19,15 @@
 )  # fmt: skip
 
 
-def run_scene(scenario: Scenario, *looks: float) -> Result:
-    result = asyncio.run(run_scenario(scenario, looks))
+def run_checked(scenario: Scenario, *sample_times: float) -> Result:
+    result = asyncio.run(run_scenario(scenario, sample_times))
     assert result.lost == 0 and result.duplicates == 0
     assert result.served + result.late + result.refused + result.failed >= 0.99 * result.requests
     return result
 
 
-def zone_states(result: Result, zone: str, look: int = 0) -> list[str]:
-    return [ingress_stats[f"zone.{zone}.state"] for ingress_stats in result.stats[look][1] if ingress_stats]
+def zone_states(result: Result, zone: str, sample: int = 0) -> list[str]:
+    return [ingress_stats[f"zone.{zone}.state"] for ingress_stats in result.stats[sample][1] if ingress_stats]
 
 
 def log_counts(result: Result, text: str) -> list[int]:
@@ -36,20 +36,20 @@
 
 
 @pytest.mark.parametrize(
-    "more",
+    "extra_faults",
     [
         "", "0s peers.* drop 50%", "0s peers.* drop 100%", "0s peers.0.* cut\n0s peers.*.0 cut",
         f"{CUT}s hall-a.* silence",
     ],
     ids=["refused", "half of the messages lost", "all messages lost", "one ingress cut off", "silent"],
 )  # fmt: skip
-def test_failed_zone_is_left_by_all_within_two_seconds_and_returned_to_in_steps(more: str) -> None:
-    result = run_scene(replace(BASE, schedule=f"{BASE.schedule}\n{more}"), BACK - 0.1, END - 0.2)
+def test_failed_zone_is_left_by_all_within_two_seconds_and_returned_to_in_steps(extra_faults: str) -> None:
+    result = run_checked(replace(BASE, schedule=f"{BASE.schedule}\n{extra_faults}"), BACK - 0.1, END - 0.2)
     assert zone_states(result, "hall-a") == ["left"] * 5
     assert max(leave_times(result)) < 2.0
     assert result.max_overload["hall-a"] < 4.0
     # An ingress without peers has to make both trials itself, and waits longer for its turns.
-    alone = "100%" in more or "peers.0.*" in more
+    alone = "100%" in extra_faults or "peers.0.*" in extra_faults
     assert zone_states(result, "hall-a", 1).count("left") <= (5 if alone else 0)
     assert result.refused < 0.1 * result.requests
     ingress_stats = result.stats[0][1][0]
@@ -61,14 +61,14 @@
 
 
 def test_failed_zone_is_tried_until_it_is_back_where_zones_are_only_watched() -> None:
-    result = run_scene(replace(BASE, zone_leave="watch"), BACK - 0.1)
+    result = run_checked(replace(BASE, zone_leave="watch"), BACK - 0.1)
     assert max(leave_times(result)) > 2.5
 
 
 def test_slow_zone_is_not_left_and_gets_less() -> None:
     scenario = replace(BASE, schedule=PEERS, zone_restart=None, zone_slowdown=(1.0, 20.0, "hall-a", 3.0))
     scenario = replace(scenario, seconds=12.0)
-    result = run_scene(scenario, 5.0, 7.0, 9.0, 10.0, 11.0, 11.8)
+    result = run_checked(scenario, 5.0, 7.0, 9.0, 10.0, 11.0, 11.8)
     seen = [state for n in range(6) for state in zone_states(result, "hall-a", n)]
     assert "left" not in seen and seen.count("slow") > 3
     assert result.failed == 0 and result.refused < 0.05 * result.requests
@@ -76,7 +76,7 @@
 
 def test_flapping_zone_is_left_no_more_often_than_it_fails() -> None:
     flaps = "".join(f"{n}s hall-a.* {'cut' if n % 4 == 2 else 'heal'}\n" for n in range(2, 16, 2))
-    result = run_scene(replace(BASE, schedule=PEERS + flaps, zone_restart=None, seconds=15.0, rate=50.0))
+    result = run_checked(replace(BASE, schedule=PEERS + flaps, zone_restart=None, seconds=15.0, rate=50.0))
     left = log_counts(result, "zone hall-a: left")
     assert 1 <= max(left) <= 4  # it fails four times; how soon each ingress notices depends on the machine
     assert result.failed < 0.03 * result.requests and result.refused < 0.01 * result.requests
@@ -84,16 +84,18 @@
 
 def test_half_failed_zone_is_not_left() -> None:
     cut = f"{PEERS}{CUT}s hall-a.s-00 cut\n{CUT}s hall-a.s-01 cut"
-    result = run_scene(replace(BASE, servers_per_zone=4, schedule=cut, zone_restart=None, seconds=7.0), 6.8)
+    result = run_checked(replace(BASE, servers_per_zone=4, schedule=cut, zone_restart=None, seconds=7.0), 6.8)
     assert len(zone_states(result, "hall-a")) == 5 and "left" not in zone_states(result, "hall-a")
     assert result.refused < 0.01 * result.requests and result.failed < 0.03 * result.requests
 
 
 def test_when_all_zones_fail_live_servers_serve_and_no_zone_is_given_up() -> None:
     cut = PEERS + "".join(f"{CUT}s hall-{z}.s-{n}{m} cut\n" for n, z in enumerate("abc") for m in (0, 1))
-    result = run_scene(replace(BASE, schedule=cut, zone_restart=None, rate=20.0, seconds=8.0), 3.0, 5.0, 7.5)
-    for look in range(3):
-        zones = [zone_states(result, f"hall-{z}", look) for z in "abc"]
+    result = run_checked(
+        replace(BASE, schedule=cut, zone_restart=None, rate=20.0, seconds=8.0), 3.0, 5.0, 7.5
+    )
+    for sample in range(3):
+        zones = [zone_states(result, f"hall-{z}", sample) for z in "abc"]
         assert all(any(z[k] != "left" for z in zones) for k in range(5))
     # Only at first, before any ingress can know, do all four attempts of a request fail.
     assert [when for when, end in result.outcomes if end == "refused" and when > CUT + 1.0] == []
@@ -101,7 +103,7 @@
 
 
 def test_ingress_restarted_during_a_ramp_does_not_break_it() -> None:
-    result = run_scene(replace(BASE, ingress_restarts=((BACK + 1.2, 1),), seconds=END + 1), END + 0.5)
+    result = run_checked(replace(BASE, ingress_restarts=((BACK + 1.2, 1),), seconds=END + 1), END + 0.5)
     assert result.max_overload["hall-a"] < 4.0
     assert "left" not in zone_states(result, "hall-a")
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -423,7 +423,7 @@
     assert result.max_overload < 2.0 and result.max_received_per_second <= 100
     assert result.unanswered == 0 and len(result.left_at) >= 40
     assert result.served + result.late > 0.93 * result.requests
-    if changes.get("drop") != 1.0 and changes.get("told") != 25:
+    if changes.get("drop") != 1.0 and changes.get("stated_ingresses") != 25:
         assert result.last_attempt is not None and result.first_failure is not None
         assert result.last_attempt - result.first_failure < 2.5
 
