--- a/opalgauge/leases/driver.py
+++ b/opalgauge/leases/driver.py
@@ -26,17 +26,17 @@
     def __init__(
         self,
         config: LeaseConfig,
-        transport: PeerSocket,
+        peer_socket: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
         now: Callable[[], datetime],
         log: Callable[[str], None],
     ) -> None:
-        self.transport, self.secret, self.report, self.now, self.log = transport, secret, report, now, log
+        self.peer_socket, self.secret, self.report, self.now, self.log = peer_socket, secret, report, now, log
         start_time = now()
         self.holder = LeaseHolder(config, start_time, int(start_time.timestamp() * 1000), seed)
-        transport.handlers[messages.VERSION] = self._on_datagram
+        peer_socket.handlers[messages.VERSION] = self._on_datagram
         self.on_usage: Callable[[int, int, datetime, float], None] = lambda *_: None
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
@@ -82,7 +82,7 @@
                 case CallCounter(token, name, amount, ttl):
                     self.report(CounterCallRequested(token, name, amount, ttl))
                 case SendMessage(peer, message):
-                    self.transport.send(messages.encode_message(message, self.secret), peer)
+                    self.peer_socket.send(messages.encode_message(message, self.secret), peer)
                 case ReportUsage(account, window, ends_at, units):
                     self.on_usage(account, window, ends_at, units)
                 case LogLine(text):
--- a/opalgauge/replica/driver.py
+++ b/opalgauge/replica/driver.py
@@ -34,15 +34,15 @@
         self,
         own_index: int,
         fleet_size: int,
-        transport: PeerSocket,
+        peer_socket: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
         now: Callable[[], datetime],
         ejections: Callable[[], list[Ejection]],
     ) -> None:
-        self.transport, self.secret, self.report, self.now, self.ejections = (
-            transport,
+        self.peer_socket, self.secret, self.report, self.now, self.ejections = (
+            peer_socket,
             secret,
             report,
             now,
@@ -53,7 +53,7 @@
         self.gossip = Gossip(self.store, fleet_size, start_time, seed)
         self.published: dict[str, float] = {}  # own ejections and their end (Unix s)
         self.ejection_quorum = min(EJECTION_QUORUM, max(1, fleet_size - 1))
-        transport.handlers[messages.VERSION] = self._on_datagram
+        peer_socket.handlers[messages.VERSION] = self._on_datagram
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
@@ -119,7 +119,7 @@
     def _run_outputs(self) -> None:
         outgoing, changes = self.gossip.take_outputs()
         for sent in outgoing:
-            self.transport.send(messages.encode_message(sent.message, self.secret), sent.peer)
+            self.peer_socket.send(messages.encode_message(sent.message, self.secret), sent.peer)
         bans, ejections = [], []
         for change in changes:
             kind, name = change.key
--- a/opalgauge/zones/driver.py
+++ b/opalgauge/zones/driver.py
@@ -24,19 +24,19 @@
     def __init__(
         self,
         config: ZoneConfig,
-        transport: PeerSocket,
+        peer_socket: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
         now: Callable[[], datetime],
         log: Callable[[str], None],
     ) -> None:
-        self.transport, self.secret, self.enforce = transport, secret, config.enforce
+        self.peer_socket, self.secret, self.enforce = peer_socket, secret, config.enforce
         self.report, self.now, self.log = report, now, log
         start_time = now()
         incarnation = int(start_time.timestamp() * 1000)
         self.watch = ZoneWatch(config, start_time, incarnation, seed)
-        transport.handlers[messages.VERSION] = self._on_datagram
+        peer_socket.handlers[messages.VERSION] = self._on_datagram
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
@@ -72,7 +72,7 @@
                 case SendMessage(peers, message):
                     data = messages.encode_message(message, self.secret)
                     for peer in peers:
-                        self.transport.send(data, peer)
+                        self.peer_socket.send(data, peer)
                 case LogLine(text):
                     self.log(text if self.enforce else f"{text} (watching only)")
 
