--- a/opalgauge/leases/holder.py
+++ b/opalgauge/leases/holder.py
@@ -253,7 +253,8 @@
         if window.counter_total is not None:
             used_before = self._estimated_total(window)
             free = max(0.0, limit - window.counter_total)
-            # The lease may be spent even if the quota is used up by now: it was charged.
+            # The lease may be spent even if the total, which is known to be too low, leaves no room: it was
+            # charged.
             window.rights = max(0.0, window.held - window.unconfirmed)
             # Not for a single late answer: then the peers go on with the counter.
             if self.counter_health.in_trouble:
--- a/opalgauge/zones/health.py
+++ b/opalgauge/zones/health.py
@@ -68,6 +68,7 @@
     def begin_attempt(
         self, key: tuple[int, int], zone: int, server: int, class_index: int, now: datetime
     ) -> None:
+        """An attempt has begun. Servers outside the configured zones are not watched."""
         if zone < len(self.zones):
             self.in_flight[key] = zone, server, class_index, now
 
