--- a/starlinggap/quota.py
+++ b/starlinggap/quota.py
@@ -24,9 +24,9 @@
     return x ^ (x >> 31)
 
 
-def estimate_use(prev: float, current: float, left: float) -> float:
+def estimate_use(prev: float, current: float, remaining: float) -> float:
     """The weighted two-window count (units); `left` is the fraction of the current window still to come."""
-    return prev * left + current
+    return prev * remaining + current
 
 
 def fits(used: float, limit: float, cost: float) -> bool:
@@ -38,10 +38,10 @@
     """What this gateway knows of one account.
 
     `total`: of the current window, as last told by the counter; `own_units`: what this gateway added of it;
-    `lost_units`: what the counter has lost of it. `uncounted`: units left to the next counter call, below 0
-    to be taken back. `deficit`: units missing from the token bucket; `stale`: not followed lately.
-    `assumed_units`: what others are assumed to have used since the last total. `headroom`: units left of this
-    gateway's part of the ceiling. `spread`: gateways, times cores, over which the account is spread.
+    `lost_units`: what the counter has lost of it. `uncounted_units`: units left to the next counter call,
+    below 0 to be taken back. `deficit`: units missing from the token bucket; `deficit_stale`: not followed
+    lately. `assumed_units`: what others are assumed to have used since the last total. `headroom`: units left
+    of this gateway's part of the ceiling. `spread`: gateways, times cores, over which the account is spread.
     """
 
     def __init__(self, request: interface.Request, plan: interface.Plan, now: float, uptime: float) -> None:
@@ -50,41 +50,49 @@
         # A window lasts as long as the burst takes to refill, or as the counter can keep its names.
         self.window_s = min(plan.burst / plan.rate, MAX_NAME_TTL / TTL_WINDOWS) if plan.rate > 0 else 0.0
         self.limit, self.beyond_pays = (
-            min(plan.burst, plan.rate * self.window_s), plan.over_worth > plan.over_cost)  # fmt: skip
+            min(plan.burst, plan.rate * self.window_s),
+            plan.over_worth > plan.over_cost,
+        )
         self.window = int(now // self.window_s) if self.window_s else 0
-        self.total = self.own_units = self.lost_units = self.prev_total = (
-            self.uncounted) = self.assumed_units = 0.0  # fmt: skip
+        self.total = self.own_units = self.lost_units = self.prev_total = self.uncounted_units = (
+            self.assumed_units
+        ) = 0.0
         self.prev_known = self.reading_prev = False
-        self.waiting: list[Any] = []  # requests that wait for the last window's total
-        self.deficit, self.stale = ASSUMED_USE * self.limit, True
+        self.waiting_requests: list[Any] = []  # requests that wait for the last window's total
+        self.deficit, self.deficit_stale = ASSUMED_USE * self.limit, True
         self.others_rate = ASSUMED_USE * plan.rate * (1 - 1 / self.spread)  # admitted by others, units/s
-        self.judged = self.admitted = 0.0  # requests decided and admitted by totals; they decay
-        self.updated_at = self.seen_at = self.uncounted_since = self.judged_at = now
+        self.decision_count = self.admitted_count = 0.0  # requests decided and admitted by totals; they decay
+        self.updated_at = self.seen_at = self.uncounted_since = self.counts_decayed_at = now
         self.total_at = self.denied_until = -math.inf
         self.open_attempts = 0
         # A ceiling is split evenly, so that no gateway needs to know of another. A new process has its part
         # of the slack, and of what was refilled since its start: the one before it may have spent the rest.
         self.headroom = min(plan.ceiling_burst, plan.ceiling_slack + plan.ceiling_rate * uptime) / self.spread
 
-    def likely_prev(self, current: float, left: float) -> float:
+    def likely_prev(self, current: float, remaining: float) -> float:
         """The last window's total if use is steady: by the total so far and the use of others (units)."""
-        steady = (current + ASSUMED_USE * self.others_rate * self.window_s) / (1 - left + ASSUMED_USE)
+        steady = (current + ASSUMED_USE * self.others_rate * self.window_s) / (1 - remaining + ASSUMED_USE)
         return max(self.prev_total, min(self.limit, steady))
 
     def advance(self, now: float) -> None:
         """Moves to the window of `now`; the bucket refills by the rate less the assumed use of others."""
-        dt, self.updated_at = max(0.0, now - self.updated_at), max(now, self.updated_at)
-        refill = self.plan.ceiling_rate / self.spread * dt
+        elapsed, self.updated_at = max(0.0, now - self.updated_at), max(now, self.updated_at)
+        refill = self.plan.ceiling_rate / self.spread * elapsed
         self.headroom = max(self.headroom, min(self.plan.ceiling_burst / self.spread, self.headroom + refill))
         if not self.window_s:
             return
         window = int(now // self.window_s)
         if window > self.window:
-            self.stale = self.stale or window > self.window + 1
+            self.deficit_stale = self.deficit_stale or window > self.window + 1
             self.prev_total = self.total if window == self.window + 1 else 0.0
             self.window, self.prev_known, self.total, self.own_units, self.lost_units = (
-                window, False, 0.0, 0.0, 0.0)  # fmt: skip
-        self.uncounted *= now - self.uncounted_since <= 2 * self.window_s  # older windows count no more
-        assumed = min(self.others_rate, self.plan.rate * (1 - 1 / (2 * self.spread))) * dt
+                window,
+                False,
+                0.0,
+                0.0,
+                0.0,
+            )
+        self.uncounted_units *= now - self.uncounted_since <= 2 * self.window_s  # older windows count no more
+        assumed = min(self.others_rate, self.plan.rate * (1 - 1 / (2 * self.spread))) * elapsed
         self.assumed_units = min(self.plan.burst, self.assumed_units + assumed)
-        self.deficit = max(0.0, self.deficit - self.plan.rate * dt + assumed)
+        self.deficit = max(0.0, self.deficit - self.plan.rate * elapsed + assumed)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes on one listening socket: nothing is turned back, and what staff said holds over both."""
+"""Two processes on one listening socket: no request is lost, bans hold for both, state is handed over."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return record.ClockReading(CLOCKS.wall_clock + elapsed, CLOCKS.monotonic + elapsed)
 
 
-def test_a_process_with_a_successor_leaves_once_its_clients_have_their_last_answers() -> None:
+def test_a_process_with_a_successor_exits_once_its_clients_have_their_last_answers() -> None:
     rig = ReducerRig()
     for client in (1, 2):
         rig.step(events.ClientConnected(client))
@@ -43,7 +43,7 @@
     rig.step(events.ServerAnswered(connection_id, interface.End.OK, True, b""))
     assert rig.answers[-1].close_connection
     rig.step(events.ClientDisconnected(1))
-    assert effects.Exit() not in rig.effects  # the other client may still ask
+    assert effects.Exit() not in rig.effects  # the other client may still send a request
     rig.step(events.ClientDisconnected(2))
     assert effects.Exit() in rig.effects
 
@@ -58,23 +58,25 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(64)
             async with (
-                harness.party(slow) as (server_address, _),
-                harness.party(harness.counter()) as (counter_address, _),
-                harness.party(harness.silent) as (list_address, _),
-                harness.ingress(server_address, counter_address, list_address, listener, scratch) as old,
+                harness.stand_in(slow) as (server_address, _),
+                harness.stand_in(harness.counter()) as (counter_address, _),
+                harness.stand_in(harness.no_response) as (list_address, _),
+                harness.ready_ingress(
+                    server_address, counter_address, list_address, listener, scratch
+                ) as old,
             ):
                 stopped = False
                 answers: list[bytes] = []
 
                 async def client(me: int) -> None:
-                    """Asks over a kept connection, as long as that is left open."""
+                    """Sends requests over a kept connection; opens a new one when it is closed."""
                     n, reader, writer = 0, None, None
                     while not stopped:
                         if writer is None:
                             reader, writer = await asyncio.open_connection(*old.address)
                         assert reader is not None
                         n += 1
-                        writer.write(harness.request("GET", "/stock-check", name=f"{me}-{n}"))
+                        writer.write(harness.request("GET", "/stock-check", correlation_id=f"{me}-{n}"))
                         answers.append(await harness.read_request(reader))
                         if b"connection: close" in answers[-1].lower():
                             writer.close()
@@ -83,20 +85,20 @@
                         writer.close()
 
                 asking = [asyncio.create_task(client(me)) for me in range(6)]
-                assert (await old.call(b"maint-on s-1\n")).startswith(b"200")
-                async with harness.ingress(
+                assert (await old.call_admin(b"maint-on s-1\n")).startswith(b"200")
+                async with harness.ready_ingress(
                     server_address, counter_address, list_address, listener, scratch
                 ) as new:
-                    assert (await new.call(b"stats\n")).find(b"skipped_backends=1") > 0
-                    for process in (old, new):  # a new configuration in the overlap, at either
+                    assert (await new.call_admin(b"stats\n")).find(b"skipped_backends=1") > 0
+                    for process in (old, new):  # both are reconfigured while both run
                         await process.reconfigure()
                     old.process.send_signal(signal.SIGTERM)
-                    assert (await new.call(b"maint-off s-1\n")).startswith(b"200")
+                    assert (await new.call_admin(b"maint-off s-1\n")).startswith(b"200")
                     assert await asyncio.wait_for(old.process.wait(), 20) == 0
                     await asyncio.sleep(0.3)
                     stopped = True
                     await asyncio.gather(*asking)
-                    assert (await new.call(b"status\n")).startswith(b"200")
+                    assert (await new.call_admin(b"status\n")).startswith(b"200")
                     codes = {answer.split(b" ")[1] for answer in answers}
                     assert codes == {b"200", b"429"}
 
@@ -146,7 +148,7 @@
     assert record.decode(encoded, stepped) == record.ReceivedSnapshot({"a": 1}, timedelta(seconds=-step))
     old = record.ClockReading(START + timedelta(seconds=6 + step), CLOCKS.monotonic + timedelta(seconds=6))
     assert record.decode(encoded, old) is None
-    # What the version before wrote tells no more than the wall clock does.
+    # The previous version wrote no monotonic clock: the age follows from the wall clock.
     body = b'{"a":1}'
     head = f"{record.TITLE} {len(body)} {(START - record.EPOCH) // record.MICROSECOND} "
     previous_format = f"{head}{hashlib.sha256(body).hexdigest()}\n".encode() + body
@@ -189,7 +191,7 @@
 
         dead = socket.socket(socket.AF_UNIX)
         dead.bind(str(tmp_path / SOCKET_NAME))
-        dead.close()  # a leftover: nobody listens there
+        dead.close()  # left over: nobody listens on it
         old, new, third = link("old"), link("new"), link("third")
         await old.start()
         assert not reported["old"]
@@ -202,7 +204,7 @@
             await asyncio.sleep(0.001)
         await third.start()  # a second upgrade
         assert events.SnapshotReceived({"from": "new"}) in reported["third"]
-        third.close()  # which never becomes ready
+        third.close()  # it never becomes ready
         await until("new", events.ProcessCountChanged(1))
         new.close()
         assert not log
@@ -231,7 +233,7 @@
         await new.start()
         assert not [e for e in new_reported if isinstance(e, events.SnapshotReceived)]
         assert len(log) == 1 and log[0].startswith("handover: ")
-        # Two processes of one ingress share its part of the limits, whatever they work by; others do not.
+        # Processes of one ingress share its part of the limits, even with different settings; others do not.
         assert new_reported[-1] == events.ProcessCountChanged(2 if same_ingress else 1)
         if same_ingress:
             while events.ProcessCountChanged(2) not in old_reported:
@@ -240,7 +242,9 @@
             while old.callers:
                 await asyncio.sleep(0)
             assert events.ProcessCountChanged(2) not in old_reported
-            assert new.server is None and (tmp_path / SOCKET_NAME).exists(), "the other's place is left to it"
+            assert new.server is None and (tmp_path / SOCKET_NAME).exists(), (
+                "the socket of the other ingress is left alone"
+            )
         new.close()
         old.close()
 
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Long and slow bodies both ways, over real sockets: what passes, what it may cost, and how it may end."""
+"""Long and slow bodies in both directions, over real sockets: what is streamed, its cost, and how it ends."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @contextlib.asynccontextmanager
 async def ingress_with(script: ServerScript) -> AsyncIterator[harness.Ingress]:
-    """An ingress before one stock node that speaks as `talk` says, a connection at a time."""
+    """An ingress in front of one server, which runs `script` on each connection."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -31,9 +31,9 @@
     host, port = server.sockets[0].getsockname()
     try:
         async with (
-            harness.party(harness.counter()) as (counter_address, _),
-            harness.party(harness.silent) as (list_address, __),
-            harness.ingress(f"{host}:{port}", counter_address, list_address) as ingress,
+            harness.stand_in(harness.counter()) as (counter_address, _),
+            harness.stand_in(harness.no_response) as (list_address, __),
+            harness.ready_ingress(f"{host}:{port}", counter_address, list_address) as ingress,
         ):
             yield ingress
     finally:
@@ -41,7 +41,7 @@
 
 
 def repeat_answer(*parts: bytes, close: bool = False) -> ServerScript:
-    """A stock node that gives each request the same answer, part by part."""
+    """A server script that gives each request the same answer, part by part."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -57,7 +57,7 @@
 
 
 def peak_memory(ingress: harness.Ingress) -> int:
-    """Bytes that the program has needed at most."""
+    """The peak resident memory of the program, in bytes."""
     lines = Path(f"/proc/{ingress.process.pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmHWM")).split()[1]) * 1024
 
@@ -131,20 +131,22 @@
             before = peak_memory(ingress)
             long = []
             for n in range(6):
-                asked = harness.request("GET", f"/stock-check/long/{n}", name=f"l{n}")
+                asked = harness.request("GET", f"/stock-check/long/{n}", correlation_id=f"l{n}")
                 long.append(await send_request(ingress, asked))
-                await long[-1][0].readuntil(b"\r\n\r\n")  # it flows, and is not read on
+                await long[-1][0].readuntil(b"\r\n\r\n")  # it is being streamed, and is not read any further
             for n in range(20):
-                answer = await ingress.raw(harness.request("GET", "/stock-check", name=f"s{n}"))
+                answer = await ingress.exchange(
+                    harness.request("GET", "/stock-check", correlation_id=f"s{n}")
+                )
                 assert answer.endswith(b"done")
-            stats = await ingress.call(b"stats\n")
+            stats = await ingress.call_admin(b"stats\n")
             assert b"in_progress=6\n" in stats and b"passed.stock-check=20\n" in stats
             for reader, writer in long:
                 for _ in range(32):
                     assert await asyncio.wait_for(reader.readexactly(MB), 60) == block
                 writer.close()
-            assert peak_memory(ingress) - before < 24 * MB  # of 192 MB that passed
-            assert b"in_progress=0\n" in await ingress.call(b"stats\n")
+            assert peak_memory(ingress) - before < 24 * MB  # of 192 MB that were streamed
+            assert b"in_progress=0\n" in await ingress.call_admin(b"stats\n")
 
     asyncio.run(scenario())
 
@@ -171,7 +173,9 @@
             before, block = peak_memory(ingress), bytes(range(256)) * 4096
             framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {32 * MB}"
             more = f"{framing}\r\nExpect: 100-continue\r\n"
-            reader, writer = await send_request(ingress, harness.request("POST", "/place-order", more=more))
+            reader, writer = await send_request(
+                ingress, harness.request("POST", "/place-order", extra_headers=more)
+            )
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
             for _ in range(32):
                 writer.write(b"%x;e=1\r\n%s\r\n" % (len(block), block) if chunked else block)
@@ -181,7 +185,7 @@
             assert (await harness.read_request(reader)).endswith(b"done")
             assert bytes(received) == block * 32
             assert peak_memory(ingress) - before < 16 * MB
-            stats = await ingress.call(b"stats\n")
+            stats = await ingress.call_admin(b"stats\n")
             assert b"upstream_tries=1\n" in stats and b"passed.place-order=1\n" in stats
             writer.close()
 
@@ -204,7 +208,7 @@
                 assert received.startswith(b"HTTP/1.1 200") and not received.endswith(b"0\r\n\r\n")
                 assert received.count(b"x") <= 100_000
                 writer.close()
-                assert b"bad_gateway.stock-check=1\n" in await ingress.call(b"stats\n")
+                assert b"bad_gateway.stock-check=1\n" in await ingress.call_admin(b"stats\n")
 
     asyncio.run(scenario())
 
@@ -218,11 +222,13 @@
 
         async with ingress_with(script) as ingress:
             more = f"Content-Length: {4 * MB}\r\n"
-            reader, writer = await send_request(ingress, harness.request("POST", "/place-order", more=more))
+            reader, writer = await send_request(
+                ingress, harness.request("POST", "/place-order", extra_headers=more)
+            )
             writer.write(b"x" * MB)
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 429 ") and b"Retry-After" in head
-            writer.write(b"x" * 3 * MB + harness.request("GET", "/stock-check", name="next"))
+            writer.write(b"x" * 3 * MB + harness.request("GET", "/stock-check", correlation_id="next"))
             await writer.drain()
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 429 ")
             writer.close()
@@ -231,7 +237,7 @@
 
 
 class TestReducer:
-    """What the reducer hears of long and slow bodies: beginnings, stalls and ends."""
+    """How the reducer handles long and slow bodies: their start, stalls and end."""
 
     def start_streamed_request(self, rig: ReducerRig) -> int:
         rig.last_request_id += 1
--- a/tests/test_races_attempts.py
+++ b/tests/test_races_attempts.py
@@ -113,7 +113,7 @@
                 (protocol,) = [
                     li for li in running.runtime.connections.values() if li.parse_stream_start is not None
                 ]
-                await wait_until(lambda: protocol.received)
+                await wait_until(lambda: protocol.incomplete_data)
             connection.reset()
             if idempotency == "safe":
                 _, again = await first_connection(running)
@@ -452,7 +452,7 @@
             running.runtime.gate.clear()
             _, writer = await running.connect_client()
             whole = harness.request(
-                "POST", "/place-order", b"x" * (buffered + unread), left="2.0", name="one"
+                "POST", "/place-order", b"x" * (buffered + unread), time_left="2.0", correlation_id="one"
             )
             writer.write(whole[:-unread])
             await wait_until(lambda: running.state.requests)
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -233,8 +233,8 @@
 @pytest.mark.parametrize(
     "data",
     [
-        harness.request("POST", "/place-order", more="Content-Length: 60000000\r\n"),
-        harness.request("POST", "/nothing", more="Content-Length: 90000\r\n"),
+        harness.request("POST", "/place-order", extra_headers="Content-Length: 60000000\r\n"),
+        harness.request("POST", "/nothing", extra_headers="Content-Length: 90000\r\n"),
         b"no request at all\r\n\r\n",
         b"GET /stock-check HTTP/1.1\r\nConnection: close\r\n\r\n",
     ],
@@ -306,7 +306,7 @@
             client.send(check_request("one"))
             connection = await running.servers[0].next_connection()
             await connection.read_request()
-            opened = [line.transport for line in running.runtime.connections.values()]
+            opened = [connection.transport for connection in running.runtime.connections.values()]
             accepted = [connection.transport for connection in running.clients.client_ids]
             assert len(opened) >= 2 and len(accepted) == 1
             for transport in (*opened, *accepted):
@@ -333,8 +333,8 @@
         server = await asyncio.start_unix_server(old, str(tmp_path / "opalgauge.kin"))
         listener = socket.create_server(("127.0.0.1", 0))
         async with (
-            harness.party(harness.silent) as (other, _),
-            harness.starting(other, other, other, listener, str(tmp_path)) as ingress,
+            harness.stand_in(harness.no_response) as (other, _),
+            harness.starting_ingress(other, other, other, listener, str(tmp_path)) as ingress,
         ):
             await asyncio.wait_for(asked.wait(), 60)
             ingress.process.send_signal(signal.SIGTERM)
