--- a/opalgauge/zones/driver.py
+++ b/opalgauge/zones/driver.py
@@ -1,4 +1,4 @@
-"""The edge of `opalgauge.zones`: steps the watch by a timer, carries its messages, reports what it judges."""
+"""Drives the zone watch: steps it by a timer and connects it to the reducer and the peers."""
 
 from __future__ import annotations
 
@@ -12,45 +12,49 @@
 from opalgauge.zones import messages
 from opalgauge.zones.watch import ChangeShare, LogLine, SendMessage, ZoneConfig, ZoneWatch
 
-STEP_INTERVAL = 0.05  # s between steps
+STEP_INTERVAL = 0.05  # seconds
 
 
 class ZoneDriver:
-    """What one ingress judges of zones, beside its reducer. `wire`: to the other ingresses.
+    """Runs one ingress's zone watch beside its reducer. `report` takes events for the reducer.
 
-    Where it does not act, it judges and shows what it would do, and every zone keeps its whole share.
+    Without `enforce` in the settings it only logs and shows what it would do, and all zones keep their share.
     """
 
     def __init__(
         self,
         config: ZoneConfig,
-        transport: PeerSocket,
+        peer_socket: PeerSocket,
         secret: bytes,
         seed: int,
         report: Callable[[Event], None],
         now: Callable[[], datetime],
         log: Callable[[str], None],
     ) -> None:
-        self.transport, self.secret, self.enforce = transport, secret, config.enforce
+        self.peer_socket, self.secret, self.enforce = peer_socket, secret, config.enforce
         self.report, self.now, self.log = report, now, log
         start_time = now()
         incarnation = int(start_time.timestamp() * 1000)
         self.watch = ZoneWatch(config, start_time, incarnation, seed)
-        transport.handlers[messages.VERSION] = self._on_datagram
+        peer_socket.handlers[messages.VERSION] = self._on_datagram
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Takes a step now and every `STEP_INTERVAL` from now on."""
         self._step()
 
     def close(self) -> None:
+        """Stops the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
     def on_attempt(self, effect: ReportAttempt) -> None:
+        """An attempt or a trial has begun or ended."""
         self.watch.record_attempt(effect, self.now())
 
     def on_servers(self, effect: ReportServers) -> None:
+        """The server list has changed."""
         self.watch.update_servers(effect.entries)
 
     def _on_datagram(self, data: bytes) -> bool:
@@ -68,7 +72,7 @@
                 case SendMessage(peers, message):
                     data = messages.encode_message(message, self.secret)
                     for peer in peers:
-                        self.transport.send(data, peer)
+                        self.peer_socket.send(data, peer)
                 case LogLine(text):
                     self.log(text if self.enforce else f"{text} (watching only)")
 
@@ -77,7 +81,7 @@
         return "-" if when is None else f"{(now - when).total_seconds():.2f}"
 
     def figures(self) -> list[str]:
-        """Lines for the admin endpoint: each zone's state, since when (s), its share and why; the peers."""
+        """Lines for the admin endpoint: of each zone state, its age (s), share and reason; of the peers."""
         now, lines = self.now(), []
         for status in self.watch.zones:
             lines += [
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases of quotas: the pure holder by hand and by a model, its messages, and fleets in virtual time."""
+"""Quota leases: the lease holder, the detector of counter failures, messages, and fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class HolderRig:
-    """One holder, and a counter that answers by hand. The account comes over ingresses 0 and 1."""
+    """A lease holder and a counter that answers on command. Ingresses 0 and 1 serve the account."""
 
     def __init__(self, me: int = ME, now: datetime = T0, incarnation: int = 1, **changes: object) -> None:
         config = dataclasses.replace(LeaseConfig(me, 3, ((RATE, BURST),)), **changes)  # type: ignore[arg-type]
@@ -60,7 +60,7 @@
         self.run_actions(self.holder.take_actions())
 
     def answer(self, end: interface.End = interface.End.OK) -> None:
-        """The counter answers, or does not, all that it was called for."""
+        """Ends all calls of the counter in this way."""
         while self.calls:
             call = self.calls.pop(0)
             if end is interface.End.OK:
@@ -81,7 +81,7 @@
         return self.answers[-1].total
 
     def cut(self, end: interface.End = interface.End.TIMEOUT) -> None:
-        """The counter fails until this ingress takes it to be gone."""
+        """The counter fails its calls until the holder is in trouble."""
         while not self.holder.counter_health.in_trouble:
             self.request_count()
             self.step(60 * MS)
@@ -97,10 +97,10 @@
 def test_busy_account_leases_ahead_and_needs_fewer_calls() -> None:
     rig = HolderRig()
     rig.use(3)
-    asks, calls = rig.holder.counts_asked, rig.holder.counter_calls
+    counts, calls = rig.holder.counts_asked, rig.holder.counter_calls
     rig.use(4)
-    assert rig.holder.counter_calls - calls < rig.holder.counts_asked - asks == 4
-    assert rig.last_total() == 7.0  # what is held ahead is not told as used
+    assert rig.holder.counter_calls - calls < rig.holder.counts_asked - counts == 4
+    assert rig.last_total() == 7.0  # the lease does not count as used
     assert sum(rig.totals.values()) > 7.0
 
 
@@ -172,7 +172,7 @@
     rig.step(60 * MS)
     assert [t.duration < 60 * MS for t in rig.answers] == [True]
     assert rig.holder.detached_counts == 1
-    # The decisions would take a wait for pressure, ask for fewer requests and let the rest in by chance.
+    # The gateway would take the delay for pressure on the counter, and count only a sample of requests.
     assert rig.answers[0].duration == timedelta(0)
 
 
@@ -194,7 +194,7 @@
 
 
 def test_regained_quota_is_shared_while_the_counter_is_gone() -> None:
-    # Each of the account's ingresses let in all that came back: three of them were 37% beyond a quota.
+    # When each ingress admitted all units that the quota regained, three of them went 37% beyond it.
     rig = HolderRig(lease_ahead=False)
     rig.use(int(BURST), pause=20 * MS)
     assert rig.last_total() == BURST
@@ -206,11 +206,11 @@
     before = rig.last_total()
     for n in range(1, 4):
         rig.request_count()
-        assert rig.last_total() == before + n * SPREAD, "its own use stands for the others' as well"
+        assert rig.last_total() == before + n * SPREAD, "its own use stands for that of its peers as well"
 
 
 def test_late_total_over_the_quota_is_answered_in_full() -> None:
-    # Told as the quota and no more, others' use was forgotten, and the decisions let as much in again.
+    # When the answer was cut to the quota, the gateway lost the peers' use and admitted as much again.
     rig = HolderRig(lease_ahead=False)
     rig.use(int(BURST), pause=20 * MS)
     rig.cut()
@@ -236,15 +236,15 @@
 
 
 def test_unknown_account_is_assumed_to_have_used_the_replicated_usage() -> None:
-    told = []
+    totals = []
     for heard in (None, 16.0):
         rig = HolderRig()
         rig.holder.replicated_usage = lambda account, window, over, heard=heard: heard  # type: ignore[misc]
         rig.holder.counter_health.has_answered = True
         rig.holder.counter_health.trouble_since = rig.now + timedelta(seconds=1)
         rig.request_count()
-        told.append(rig.last_total())
-    assert told == [BURST / 2 + 1, 16.0 + 1]
+        totals.append(rig.last_total())
+    assert totals == [BURST / 2 + 1, 16.0 + 1]
 
 
 def test_only_usage_near_the_quota_is_replicated() -> None:
@@ -278,7 +278,7 @@
     for n in range(5):
         rig.use(1)
         rig.holder.handle_message(Message(1, 1, 2 + n, True), rig.now)
-    assert rig.last_total() == pytest.approx(2 + 1 + 2 * 4, abs=1.1)  # each unit stands for two
+    assert rig.last_total() == pytest.approx(2 + 1 + 2 * 4, abs=1.1)  # each unit counts for two
     rig.holder.handle_message(Message(1, 1, 99, False), rig.now)
     rig.use(2)
     assert rig.last_total() == pytest.approx(9.0)
@@ -297,7 +297,7 @@
 
 
 def detached_pair() -> tuple[HolderRig, HolderRig]:
-    """Two ingresses of the account, both alone in a window that began after the cut."""
+    """Two ingresses of the account, detached in a window that began after the counter was lost."""
     rigs = HolderRig(0, incarnation=11), HolderRig(1, incarnation=12)
     for rig in rigs:
         rig.use(1)
@@ -324,17 +324,17 @@
         busy.sent.clear()
         if grants := [s for s in idle.sent if s.message.grants]:
             return grants
-    raise AssertionError("nothing was given")
+    raise AssertionError("no rights were granted")
 
 
 def test_rights_move_to_who_needs_them_and_repeated_grants_count_once() -> None:
     busy, idle = detached_pair()
     grants = exchange_until_granted(busy, idle)
-    before, gave = rights(busy), idle.holder.units_granted
+    before, granted = rights(busy), idle.holder.units_granted
     for _ in range(3):
         busy.holder.handle_message(grants[0].message, busy.now)
-    assert rights(busy) == pytest.approx(before + gave)
-    assert rights(idle) == pytest.approx(BURST / 2 - gave)
+    assert rights(busy) == pytest.approx(before + granted)
+    assert rights(idle) == pytest.approx(BURST / 2 - granted)
 
 
 def test_grant_for_another_incarnation_window_or_account_is_ignored() -> None:
@@ -389,9 +389,9 @@
 
 @given(st.binary(max_size=300), st.integers(0, 60))
 def test_torn_or_foreign_datagram_is_rejected(data: bytes, at: int) -> None:
-    whole = messages.encode_message(Message(1, 1, 1, True, (NEED,), (GRANT,)), b"s")
-    torn = whole[:at] + data + whole[at + len(data) :]
-    assert torn == whole or messages.decode_message(torn, b"s") is None
+    datagram = messages.encode_message(Message(1, 1, 1, True, (NEED,), (GRANT,)), b"s")
+    torn = datagram[:at] + data + datagram[at + len(data) :]
+    assert torn == datagram or messages.decode_message(torn, b"s") is None
     assert messages.decode_message(data, b"s") is None
 
 
@@ -406,14 +406,14 @@
 
 # --- the counter's health ----------------------------------------------------------------------------------
 class CounterCaller:
-    """Calls one counter by hand."""
+    """Records calls of one counter on command."""
 
     def __init__(self) -> None:
         self.now, self.token = T0, 0
         self.health = CounterHealth(T0, random.Random(1))
 
     def call(self, took: timedelta, answered: bool = True) -> bool:
-        """Whether it changed what is thought of the counter."""
+        """Makes a call. Returns whether it began or ended the trouble."""
         self.token += 1
         self.health.record_call(self.token, self.now)
         before = self.health.in_trouble
@@ -473,13 +473,13 @@
         caller.now += 20 * MS
     caller.call(3 * MS)
     assert caller.state() is CounterState.SLOW
-    assert caller.health.trial_due(caller.now + 9 * MS), "a quick answer is followed by another trial soon"
+    assert caller.health.trial_due(caller.now + 9 * MS), "a quick answer is soon followed by another trial"
 
 
 # --- fleets in virtual time --------------------------------------------------------------------------------
 CUT = (6.0, 18.0)
 HALVES = (0, 0, 0, 1, 1, 1)
-SCENES: dict[str, dict[str, object]] = {
+SCENARIOS: dict[str, dict[str, object]] = {
     "counter gone": {},
     "half of the messages lost": {"drop": 0.5},
     "no messages": {"drop": 1.0},
@@ -493,9 +493,9 @@
 }
 
 
-@pytest.mark.parametrize("name", SCENES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_each_plan_stays_within_its_bound_whatever_is_cut(name: str) -> None:
-    scenario = Scenario(seconds=22.0, outage=CUT, **SCENES[name])  # type: ignore[arg-type]
+    scenario = Scenario(seconds=22.0, outage=CUT, **SCENARIOS[name])  # type: ignore[arg-type]
     result = LeaseSimulation(scenario).run()
     assert (
         result.unanswered == 0
@@ -511,9 +511,9 @@
         assert deviation.wrongly_refused <= stated.wrongly_refused
 
 
-# While a slow counter was taken for one that had recovered at each late answer, each of these passed a bound:
-# when it was slow, how many milliseconds a call took it before, and seeds.
-SLOW_SCENES = (
+# Each of these exceeded a bound while every late answer counted as the recovery of a slow counter: when it
+# was slow, its usual time per call in milliseconds, and seeds.
+SLOW_SCENARIOS = (
     ((2.0, 8.0), 1.6, (23, 63, 82, 110, 124, 125, 149, 167)),
     ((2.0, 8.0), 3.0, (19, 37, 51)),
     (CUT, 1.6, (13, 14, 40, 55)),
@@ -521,8 +521,8 @@
 
 
 def test_each_plan_stays_within_its_bound_with_a_slow_counter() -> None:
-    passed = []
-    for span, milliseconds, seeds in SLOW_SCENES:
+    exceeded = []
+    for span, milliseconds, seeds in SLOW_SCENARIOS:
         for seed in seeds:
             scenario = Scenario(
                 seconds=span[1] + 2, outage=span, slowdown=7.7, seed=seed, counter_ms=milliseconds
@@ -537,8 +537,8 @@
                     deviation.overshoot > stated.overshoot
                     or deviation.wrongly_refused > stated.wrongly_refused
                 ):
-                    passed.append((seed, milliseconds, plan.name, deviation, stated))
-    assert not passed
+                    exceeded.append((seed, milliseconds, plan.name, deviation, stated))
+    assert not exceeded
 
 
 def test_without_leases_the_bounds_are_exceeded() -> None:
--- a/tests/test_replica_scenes.py
+++ b/tests/test_replica_scenes.py
@@ -1,4 +1,4 @@
-"""Five ingresses, each a process, whose bans and judgements are the same everywhere."""
+"""Replication scenarios with five ingress processes, whose bans and ejections become the same everywhere."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 BANS = ((0.5, 0, "maint-on s-00"), (0.8, 1, "maint-on s-10"), (1.1, 2, "maint-on s-20"))
 
 
-def run_scene(scenario: Scenario) -> Result:
+def run_checked(scenario: Scenario) -> Result:
     result = asyncio.run(run_scenario(scenario))
     assert result.lost == 0 and result.duplicates == 0
     figures = replica_figures(result, scenario)
@@ -39,7 +39,7 @@
 
 
 def final_commands(*rows: tuple[int, str]) -> tuple[tuple[float, int, str], ...]:
-    """What staff are told at the end: nothing changes by it if the copies are as they should be."""
+    """Admin commands at the end, each answered with "already" if its ingress has the expected bans."""
     return tuple((END - 0.5, ingress, command) for ingress, command in rows)
 
 
@@ -51,12 +51,13 @@
     "faults, skews",
     [("0s peers.* repeat 20%", ()), ("0s peers.* drop 50%\n0s peers.* delay 2ms 300ms", ()),
      ("", (0.0, 4.0, -4.0, 2.0, -3.0))],
-    ids=["as in service, some twice", "half of the words lost, late and overtaken", "clocks seconds apart"],
+    ids=["as in service, some twice", "half of the messages lost, late and overtaken",
+         "clocks seconds apart"],
 )  # fmt: skip
 def test_ban_at_one_ingress_holds_at_all_and_after_an_empty_restart(
     faults: str, skews: tuple[float, ...]
 ) -> None:
-    lift = ((6.5, 3, "maint-off s-10"),)  # by another one, whose clock may be behind
+    lift = ((6.5, 3, "maint-off s-10"),)  # at another ingress, whose clock may be behind
     final = final_commands_everywhere("maint-on s-00") + final_commands_everywhere("maint-off s-10")
     scenario = replace(
         BASE,
@@ -65,14 +66,14 @@
         admin_commands=BANS + lift + final,
         ingress_restarts=((5.0, 1),),
     )
-    result = run_scene(scenario)
+    result = run_checked(scenario)
     assert [a for a in result.admin_answers[-10:] if not a.endswith("already")] == []
     ((_, _, figures),) = result.stats_at_ready
     assert figures["replica.caught_up"] == "1" and figures["replica.bans"] == "3"
 
 
 def test_partitioned_ingress_and_the_others_end_with_the_same_bans() -> None:
-    away = "2s peers.4.* cut\n2s peers.*.4 cut\n6s peers.4.* heal\n6s peers.*.4 heal"
+    partition = "2s peers.4.* cut\n2s peers.*.4 cut\n6s peers.4.* heal\n6s peers.*.4 heal"
     commands = (
         (2.5, 4, "maint-off s-00"), (2.8, 0, "maint-on s-01"), (3.0, 4, "maint-on s-11"),
         (3.2, 4, "maint-off s-20"), (3.6, 2, "maint-off s-20"), (4.0, 2, "maint-on s-20"),
@@ -86,27 +87,27 @@
         )
         for ingress in (0, 2, 4)
     ]
-    result = run_scene(
-        replace(BASE, schedule=f"{PEER_FAULTS}\n{away}", admin_commands=BANS + commands + sum(final, ()))
+    result = run_checked(
+        replace(BASE, schedule=f"{PEER_FAULTS}\n{partition}", admin_commands=BANS + commands + sum(final, ()))
     )
     assert [a for a in result.admin_answers[-12:] if not a.endswith("already")] == []
 
 
 def test_garbage_and_a_flood_are_dropped_and_counted() -> None:
-    result = run_scene(
+    result = run_checked(
         replace(BASE, admin_commands=BANS, garbage_datagrams=((2.0, 0, 40), (2.5, 3, 600)), seconds=6.0)
     )
     dropped = [int(ingress_stats["peers.words_dropped"]) for ingress_stats in result.stats_samples[-1][1]]
-    # Of the flood the system itself drops what a busy ingress does not fetch in time.
+    # The kernel drops part of the flood itself, what a busy ingress does not read in time.
     assert dropped[0] >= 40 and dropped[3] >= 100 and dropped[1] == 0
 
 
 def test_failing_server_is_known_at_ingresses_that_hardly_used_it() -> None:
     cut = "1s hall-a.s-00 cut\n4s hall-a.s-00 heal"
-    result = run_scene(replace(BASE, schedule=f"{PEER_FAULTS}\n{cut}", rate=20.0, seconds=6.0))
-    judged = [
+    result = run_checked(replace(BASE, schedule=f"{PEER_FAULTS}\n{cut}", rate=20.0, seconds=6.0))
+    ejection_counts = [
         max(int(d.get("replica.judgements", 0)) for d in stats_by_ingress)
         for _, stats_by_ingress in result.stats_samples
     ]
-    assert max(judged) >= 1
+    assert max(ejection_counts) >= 1
     assert result.failed + result.refused <= 0.05 * result.requests
